--- a/src/gateway/placement/placement_board.cpp
+++ b/src/gateway/placement/placement_board.cpp
@@ -135,7 +135,7 @@
         return std::nullopt;
     double perSecond = 0.0;
     for (const auto &each : m_directory.usable(wish.pool))
-        perSecond += share * each->bound(m_clock.now()).value_or(rate_bound{}).perSecond;
+        perSecond += share * each->bound(m_clock.now()).value_or(effective_rate_limit{}).perSecond;
     return perSecond;
 }
 
--- a/src/gateway/placement/request_placer.cpp
+++ b/src/gateway/placement/request_placer.cpp
@@ -74,7 +74,7 @@
         if (each->rateLimit)
             frame.limits.push_back(
                 {each->record.start(), each->rateLimit,
-                 std::chrono::duration_cast<milliseconds>(now - each->rateLimitAt)});
+                 std::chrono::duration_cast<milliseconds>(now - each->rateLimitReportedAt)});
     }
     if (!frame.limits.empty())
         link->send(frame);
--- a/src/gateway/servers/cold_start.h
+++ b/src/gateway/servers/cold_start.h
@@ -4,11 +4,11 @@
 
 namespace orchidlead::gateway {
 
-/// What a service says of servers that have just started.
+/// Cold-start settings of a service: how its servers are treated right after they start.
 struct cold_start
 {
-    milliseconds time{0}; ///< a server is cold for so long
-    double rate = 0.0; ///< requests a second that it bears while it is; 0: not bounded
+    milliseconds time{0}; ///< duration of the cold phase
+    double rate = 0.0; ///< requests per second that a cold server can handle; 0: not limited
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/leaving_relay.cpp
+++ b/src/gateway/servers/leaving_relay.cpp
@@ -5,25 +5,27 @@
 
 namespace orchidlead::gateway {
 
-leaving_relay::leaving_relay(peer_network &peers, server_directory &directory,
-                             std::function<void(const server_start &, const vm_id &from)> onHeard)
+leaving_relay::leaving_relay(
+    peer_network &peers, server_directory &directory,
+    std::function<void(const server_start &, const vm_id &from)> onPeerReport)
     : m_peers(peers)
     , m_directory(directory)
-    , m_onHeard(std::move(onHeard))
+    , m_onPeerReport(std::move(onPeerReport))
 { }
 
-void leaving_relay::onLeavingSaid(const server &which)
+void leaving_relay::onLeavingSaid(const server &backend)
 {
-    tell({which.record.start()}, nullptr);
+    sendToReceivers({backend.record.start()}, nullptr);
 }
 
-// Receivers that were never told anything get all that is known with the next tick.
-void leaving_relay::tell(const std::vector<server_start> &news, const link_ptr &except)
+// Receivers without an entry in `m_notified` get the full list from the next `tick()`.
+void leaving_relay::sendToReceivers(const std::vector<server_start> &newlyLeaving,
+                                    const link_ptr &except)
 {
-    const peer_frame frame = leaving_servers_frame{news};
-    for (const auto &[vm, told] : m_told) {
-        if (told.link != except)
-            told.link->send(frame);
+    const peer_frame frame = leaving_servers_frame{newlyLeaving};
+    for (const auto &[vm, notified] : m_notified) {
+        if (notified.link != except)
+            notified.link->send(frame);
     }
     tick();
 }
@@ -31,47 +33,47 @@
 void leaving_relay::tick()
 {
     const auto &receivers = m_peers.newsReceivers();
-    std::erase_if(m_told, [&](const auto &entry) {
+    std::erase_if(m_notified, [&](const auto &entry) {
         return std::ranges::find(receivers, entry.first) == receivers.end();
     });
-    const auto known = m_directory.startsThatLeave();
-    if (known.empty())
+    const auto allLeaving = m_directory.leavingStarts();
+    if (allLeaving.empty())
         return;
-    const peer_frame frame = leaving_servers_frame{known};
+    const peer_frame frame = leaving_servers_frame{allLeaving};
     for (const auto &vm : receivers) {
         const auto member = m_peers.view().find(vm);
-        const auto number = member ? member->incarnation : 0;
-        const auto told = m_told.find(vm);
-        if (told != m_told.end() && told->second.number == number)
+        const auto memberIncarnation = member ? member->incarnation : 0;
+        const auto notified = m_notified.find(vm);
+        if (notified != m_notified.end() && notified->second.memberIncarnation == memberIncarnation)
             continue;
         if (const auto link = m_peers.linkTo(vm)) {
             link->send(frame);
-            m_told[vm] = {number, link};
+            m_notified[vm] = {memberIncarnation, link};
         }
     }
 }
 
 void leaving_relay::onFrame(const link_ptr &link, const peer_frame &frame)
 {
-    const auto *heard = std::get_if<leaving_servers_frame>(&frame);
-    if (!heard)
+    const auto *received = std::get_if<leaving_servers_frame>(&frame);
+    if (!received)
         return;
-    std::vector<server_start> news;
-    for (const auto &each : heard->servers) {
-        if (m_directory.onLeavingElsewhere(each))
-            news.push_back(each);
+    std::vector<server_start> newlyLeaving;
+    for (const auto &each : received->servers) {
+        if (m_directory.onPeerReportedLeaving(each))
+            newlyLeaving.push_back(each);
     }
-    if (news.empty())
+    if (newlyLeaving.empty())
         return;
     const auto from = m_peers.peerOf(link).value_or(vm_id{});
-    for (const auto &each : news)
-        m_onHeard(each, from);
-    tell(news, link);
+    for (const auto &each : newlyLeaving)
+        m_onPeerReport(each, from);
+    sendToReceivers(newlyLeaving, link);
 }
 
 void leaving_relay::onLinkClosed(const link_ptr &link)
 {
-    std::erase_if(m_told, [&](const auto &entry) { return entry.second.link == link; });
+    std::erase_if(m_notified, [&](const auto &entry) { return entry.second.link == link; });
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/leaving_relay.h
+++ b/src/gateway/servers/leaving_relay.h
@@ -12,40 +12,40 @@
 
 namespace orchidlead::gateway {
 
-/// Tells other nodes which servers say in answers that they leave, and hears it from them.
+/// Exchanges with other nodes which servers have announced in responses that they are leaving.
 ///
-/// What is news to a node goes on to its receivers (`peer_view::newsReceivers`) at once, and all
-/// that is known to a receiver that has just come. As long as no server leaves, nothing is sent.
+/// A newly leaving server is forwarded to this node's receivers (`peer_view::newsReceivers`) at
+/// once. A new receiver gets the full list. Nothing is sent while no server is leaving.
 class leaving_relay
 {
 public:
     leaving_relay(peer_network &peers, server_directory &directory,
-                  std::function<void(const server_start &, const vm_id &from)> onHeard);
+                  std::function<void(const server_start &, const vm_id &from)> onPeerReport);
 
-    /// An answer of this node said it first.
-    void onLeavingSaid(const server &which);
-    /// Follows changes of the receivers; call every 100 ms or so.
+    /// Called when a response to this node is the first to announce that the server is leaving.
+    void onLeavingSaid(const server &backend);
+    /// Sends the full list to new receivers; call about every 100 ms.
     void tick();
-    /// A frame about servers that leave; others are ignored.
+    /// Handles frames about leaving servers; other frames are ignored.
     void onFrame(const std::shared_ptr<peer_link> &link, const peer_frame &frame);
     void onLinkClosed(const std::shared_ptr<peer_link> &link);
 
 private:
     using link_ptr = std::shared_ptr<peer_link>;
 
-    /// One start of a receiver, and the link over which it was told all that was known.
-    struct told_receiver
+    /// The incarnation of a receiver, and the link over which the full list was sent.
+    struct notified_receiver
     {
-        incarnation number = 0;
+        incarnation memberIncarnation = 0;
         link_ptr link;
     };
 
-    void tell(const std::vector<server_start> &news, const link_ptr &except);
+    void sendToReceivers(const std::vector<server_start> &newlyLeaving, const link_ptr &except);
 
     peer_network &m_peers;
     server_directory &m_directory;
-    std::function<void(const server_start &, const vm_id &from)> m_onHeard;
-    std::map<vm_id, told_receiver> m_told;
+    std::function<void(const server_start &, const vm_id &from)> m_onPeerReport;
+    std::map<vm_id, notified_receiver> m_notified;
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/pool_widths.cpp
+++ b/src/gateway/servers/pool_widths.cpp
@@ -9,40 +9,41 @@
     , m_limits(limits)
 { }
 
-// Data centres without a server don't count: one that has lost all of them uses a neighbour's pool,
-// and the others keep theirs.
-const pool_widths::width &pool_widths::widthOf(const service_id &service, const region_id &region)
+// Data centres without a usable server are not counted: one that has lost all its servers uses a
+// pool of another data centre, and the other data centres keep their own pools.
+const pool_widths::split_state &pool_widths::splitStateOf(const service_id &service,
+                                                          const region_id &region)
 {
-    auto &known = m_widths[{service, region}];
-    if (known.seen == m_directory.changes())
-        return known;
-    known.seen = m_directory.changes();
-    known.servers.clear();
+    auto &cached = m_splitStates[{service, region}];
+    if (cached.directoryChanges == m_directory.changes())
+        return cached;
+    cached.directoryChanges = m_directory.changes();
+    cached.servers.clear();
     for (const auto &each : m_directory.usable(pool_key{service, {}, region}))
-        ++known.servers[each->record.dataCenter];
-    if (known.servers.size() < 2) {
-        known.split = false;
-        return known;
+        ++cached.servers[each->record.dataCenter];
+    if (cached.servers.size() < 2) {
+        cached.split = false;
+        return cached;
     }
-    const auto least = std::ranges::min_element(known.servers, {}, [](const auto &entry) {
-                           return entry.second;
-                       })->second;
-    known.split = least >= (known.split ? m_limits.join : m_limits.split);
-    return known;
+    const auto fewest = std::ranges::min_element(cached.servers, {}, [](const auto &entry) {
+                            return entry.second;
+                        })->second;
+    cached.split = fewest >= (cached.split ? m_limits.join : m_limits.split);
+    return cached;
 }
 
-// The region of `near` goes first, then the one with most servers.
+// Prefers the region of `near`, then the region with the most servers.
 region_id pool_widths::regionFor(const service_id &service, const data_center_id &near,
                                  const residency &allowed) const
 {
     if (!m_directory.severalRegions())
         return {};
-    auto preferred = m_directory.regionOf(near);
+    auto preferredRegion = m_directory.regionOf(near);
     std::map<region_id, std::size_t> servers;
     for (const auto &each : m_directory.usable(service, allowed))
         ++servers[each->region];
-    if (servers.empty() || servers.contains(preferred))
-        return preferred;
+    if (servers.empty() || servers.contains(preferredRegion))
+        return preferredRegion;
     return std::ranges::max_element(servers, {}, [](const auto &entry) { return entry.second; })
         ->first;
 }
@@ -51,14 +52,14 @@
                               const residency &allowed)
 {
     const auto region = regionFor(service, near, allowed);
-    const auto &known = widthOf(service, region);
-    if (!known.split)
+    const auto &cached = splitStateOf(service, region);
+    if (!cached.split)
         return {service, {}, region};
-    if (known.servers.contains(near))
+    if (cached.servers.contains(near))
         return {service, near, region};
-    const auto widest =
-        std::ranges::max_element(known.servers, {}, [](const auto &entry) { return entry.second; });
-    return {service, widest->first, region};
+    const auto largest = std::ranges::max_element(cached.servers, {},
+                                                  [](const auto &entry) { return entry.second; });
+    return {service, largest->first, region};
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/pool_widths.h
+++ b/src/gateway/servers/pool_widths.h
@@ -11,50 +11,55 @@
 
 namespace orchidlead::gateway {
 
-/// From how many servers on a data centre has a pool of its own, in the data centre that has
-/// fewest.
+/// Limits on the number of servers in the data centre with the fewest servers, from which on each
+/// data centre gets its own pool.
 struct pool_width_limits
 {
-    std::size_t split = 0; ///< at least so many: pools are split
-    std::size_t join = 0; ///< fewer than so many: they are joined again
+    std::size_t split = 0; ///< pools are split from this number on
+    std::size_t join = 0; ///< pools are joined again below this number
 };
 
-/// Decides how wide the pools of each service are: one for each region, or one for each data
-/// centre. No pool spans regions: they are far apart, and work that is bound to one stays there.
+/// Decides whether each service has one pool per region or one pool per data centre. No pool spans
+/// regions: the latency between regions is high, and work restricted to one region has to stay
+/// there.
 ///
-/// Split pools keep the results of a request in one data centre, stay whole in a cut, and share the
-/// work of hosts; joined ones fill calls where a data centre has few servers. Each node decides by
-/// the servers that it knows; where nodes disagree for a moment a server gets work from two hosts.
+/// Split pools keep the results of a request in one data centre, are not divided when data centres
+/// lose contact, and spread the scheduling work over several hosts. Joined pools fill batched calls
+/// where a data centre has few servers. Each node decides from the servers that it knows; while
+/// nodes disagree, a server may get work from two hosts.
 class pool_widths
 {
 public:
     pool_widths(const server_directory &directory, const pool_width_limits &limits);
 
-    /// All pools are joined from now on.
+    /// Disables splitting of pools for good.
     void keepJoined() { m_limits = {NeverSplit, NeverSplit}; }
 
-    /// Gives the pool for work that is best done in `near`, and may be done where `allowed` says.
-    /// It is in the region of `near` if that may be and has servers.
+    /// Returns the pool for work that is best done in `near` and is restricted to the regions of
+    /// `allowed`. The pool is in the region of `near` if that region is allowed and has servers.
     [[nodiscard]] pool_key poolFor(const service_id &service, const data_center_id &near,
                                    const residency &allowed = {});
 
 private:
     static constexpr std::size_t NeverSplit = std::numeric_limits<std::size_t>::max();
 
-    struct width
+    struct split_state
     {
-        std::uint64_t seen = 0; ///< changes of the directory up to which this holds
+        std::uint64_t directoryChanges =
+            0; ///< value of `server_directory::changes()` at the last evaluation
         bool split = false;
-        std::map<data_center_id, std::size_t> servers; ///< usable ones
+        std::map<data_center_id, std::size_t> servers; ///< usable servers
     };
 
-    [[nodiscard]] const width &widthOf(const service_id &service, const region_id &region);
+    [[nodiscard]] const split_state &splitStateOf(const service_id &service,
+                                                  const region_id &region);
     [[nodiscard]] region_id regionFor(const service_id &service, const data_center_id &near,
                                       const residency &allowed) const;
 
     const server_directory &m_directory;
     pool_width_limits m_limits;
-    std::map<std::pair<service_id, region_id>, width> m_widths; ///< no region: there is but one
+    std::map<std::pair<service_id, region_id>, split_state>
+        m_splitStates; ///< the region is empty if there is only one
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/rate_pace.cpp
+++ b/src/gateway/servers/rate_pace.cpp
@@ -6,54 +6,56 @@
 
 namespace {
 
-// A server that got nothing for so long owes nothing to what it got before.
-constexpr std::chrono::seconds Forgotten{60};
+// A server that got no request for this time has worked off its backlog, which is discarded.
+constexpr std::chrono::seconds BacklogLifetime{60};
 
 } // namespace
 
-double rate_pace::backlogOf(const server &which, double perSecond, steady_time now) const
+double rate_pace::backlogOf(const server &backend, double perSecond, steady_time now) const
 {
-    const auto found = m_backlogs.find(which.record.start());
+    const auto found = m_backlogs.find(backend.record.start());
     if (found == m_backlogs.end())
         return 0.0;
-    const std::chrono::duration<double> passed = now - found->second.at;
-    return std::max(0.0, found->second.requests - perSecond * passed.count());
+    const std::chrono::duration<double> elapsed = now - found->second.updatedAt;
+    return std::max(0.0, found->second.requests - perSecond * elapsed.count());
 }
 
-std::chrono::duration<double> rate_pace::waitFor(const server &which, double share,
-                                                 steady_time now) const
+std::chrono::duration<double> rate_pace::timeUntilAllowed(const server &backend, double share,
+                                                          steady_time now) const
 {
-    const auto bound = which.bound(now);
+    const auto bound = backend.bound(now);
     if (!bound)
         return {};
     const double perSecond = bound->perSecond * share;
-    const double before = backlogOf(which, perSecond, now) - (bound->burst - 1.0);
-    return std::chrono::duration<double>{std::max(0.0, before) / perSecond};
+    const double excess = backlogOf(backend, perSecond, now) - (bound->burst - 1.0);
+    return std::chrono::duration<double>{std::max(0.0, excess) / perSecond};
 }
 
-steady_time rate_pace::nextAt(const server &which, double share) const
+steady_time rate_pace::nextAt(const server &backend, double share) const
 {
     const auto now = m_clock.now();
-    return now + std::chrono::ceil<steady_time::duration>(waitFor(which, share, now));
+    return now + std::chrono::ceil<steady_time::duration>(timeUntilAllowed(backend, share, now));
 }
 
-bool rate_pace::allows(const server &which, double share) const
+bool rate_pace::allows(const server &backend, double share) const
 {
     const auto now = m_clock.now();
-    if (!which.bound(now))
+    if (!backend.bound(now))
         return true;
-    return share > 0 && waitFor(which, share, now) <= std::chrono::nanoseconds{0};
+    return share > 0 && timeUntilAllowed(backend, share, now) <= std::chrono::nanoseconds{0};
 }
 
-void rate_pace::onSent(const server &which, double share)
+void rate_pace::onSent(const server &backend, double share)
 {
     const auto now = m_clock.now();
-    const auto bound = which.bound(now);
+    const auto bound = backend.bound(now);
     if (!bound)
         return;
-    std::erase_if(m_backlogs, [&](const auto &entry) { return now - entry.second.at > Forgotten; });
-    const double before = backlogOf(which, bound->perSecond * share, now);
-    m_backlogs[which.record.start()] = {before + 1.0, now};
+    std::erase_if(m_backlogs, [&](const auto &entry) {
+        return now - entry.second.updatedAt > BacklogLifetime;
+    });
+    const double before = backlogOf(backend, bound->perSecond * share, now);
+    m_backlogs[backend.record.start()] = {before + 1.0, now};
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/rate_pace.h
+++ b/src/gateway/servers/rate_pace.h
@@ -8,10 +8,11 @@
 
 namespace orchidlead::gateway {
 
-/// Paces what this node lets go to servers that bear only so many requests, each for itself.
+/// Paces the requests that this node sends to rate-limited servers, separately for each server.
 ///
-/// A bound counts the requests of all nodes, and no node sees what the others send. So the node
-/// that decides for a server's pool paces all of them, by its share of the bound (`peer_view`).
+/// A rate limit covers the requests of all nodes, and no node sees the requests of the others. The
+/// node that hosts a server's pool therefore paces all requests to the server, within its share of
+/// the limit (`peer_view`).
 class rate_pace
 {
 public:
@@ -19,27 +20,29 @@
         : m_clock(clock)
     { }
 
-    /// Whether a request may go to the server now, by a node that has this share of its bound.
-    [[nodiscard]] bool allows(const server &which, double share) const;
-    /// When one may go there, not before now; `share` is above 0 or the server isn't bounded.
-    [[nodiscard]] steady_time nextAt(const server &which, double share) const;
-    /// A request goes there, now or in its turn.
-    void onSent(const server &which, double share);
+    /// Returns whether a request may be sent to the server now by a node that has this share of the
+    /// server's rate limit.
+    [[nodiscard]] bool allows(const server &backend, double share) const;
+    /// Returns the earliest time at which a request may be sent, at least the present time. `share`
+    /// must be greater than 0 unless the server has no rate limit.
+    [[nodiscard]] steady_time nextAt(const server &backend, double share) const;
+    /// Counts a request that is sent now or at its scheduled time.
+    void onSent(const server &backend, double share);
 
 private:
-    /// What a server was sent and hasn't worked off yet, at the pace of its bound.
+    /// Requests sent to a server and not yet worked off at the rate of its limit.
     struct backlog
     {
         double requests = 0.0;
-        steady_time at;
+        steady_time updatedAt;
     };
-    [[nodiscard]] double backlogOf(const server &which, double perSecond, steady_time now) const;
-    /// How long until one may go there; none where the server isn't bounded.
-    [[nodiscard]] std::chrono::duration<double> waitFor(const server &which, double share,
-                                                        steady_time now) const;
+    [[nodiscard]] double backlogOf(const server &backend, double perSecond, steady_time now) const;
+    /// Returns the time until a request may be sent; zero if the server has no rate limit.
+    [[nodiscard]] std::chrono::duration<double>
+    timeUntilAllowed(const server &backend, double share, steady_time now) const;
 
     const clock_source &m_clock;
-    std::map<server_start, backlog> m_backlogs; ///< of servers that are bounded
+    std::map<server_start, backlog> m_backlogs; ///< of rate-limited servers
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/residency.cpp
+++ b/src/gateway/servers/residency.cpp
@@ -4,18 +4,18 @@
 
 namespace orchidlead::gateway {
 
-residency residencyOf(const std::vector<region_id> &ofRoute,
-                      const std::vector<region_id> &ofCustomer)
+residency residencyOf(const std::vector<region_id> &routeRegions,
+                      const std::vector<region_id> &customerRegions)
 {
-    if (ofRoute.empty() && ofCustomer.empty())
+    if (routeRegions.empty() && customerRegions.empty())
         return {};
-    const auto &first = ofRoute.empty() ? ofCustomer : ofRoute;
-    std::set<region_id> both(first.begin(), first.end());
-    if (!ofCustomer.empty())
-        std::erase_if(both, [&](const region_id &each) {
-            return std::ranges::find(ofCustomer, each) == ofCustomer.end();
+    const auto &base = routeRegions.empty() ? customerRegions : routeRegions;
+    std::set<region_id> common(base.begin(), base.end());
+    if (!customerRegions.empty())
+        std::erase_if(common, [&](const region_id &each) {
+            return std::ranges::find(customerRegions, each) == customerRegions.end();
         });
-    return residency(std::move(both));
+    return residency(std::move(common));
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/residency.h
+++ b/src/gateway/servers/residency.h
@@ -8,25 +8,26 @@
 
 namespace orchidlead::gateway {
 
-/// The regions in which a request may be worked on: data residency, as its route and its customer
-/// demand it.
+/// Data residency: the regions in which a request may be processed, as required by its route and
+/// its customer.
 class residency
 {
 public:
-    /// Any region.
+    /// Allows any region.
     residency() = default;
-    /// These regions and no other.
+    /// Allows only these regions.
     explicit residency(std::set<region_id> regions)
         : m_regions(std::move(regions))
     { }
 
     [[nodiscard]] bool bound() const { return m_regions.has_value(); }
-    /// A server of which the region isn't known gets nothing that is bound.
+    /// Returns whether a server of this region may process the request. If the request is
+    /// restricted, a server of unknown region (empty) is not allowed.
     [[nodiscard]] bool allows(const region_id &region) const
     {
         return !m_regions || m_regions->contains(region);
     }
-    /// The regions where it is bound; empty where it isn't.
+    /// Returns the allowed regions; empty if the request is not restricted.
     [[nodiscard]] std::set<region_id> regions() const
     {
         return m_regions.value_or(std::set<region_id>{});
@@ -35,11 +36,12 @@
     friend bool operator==(const residency &, const residency &) = default;
 
 private:
-    std::optional<std::set<region_id>> m_regions; ///< empty: any
+    std::optional<std::set<region_id>> m_regions; ///< no value: any region
 };
 
-/// What lists of regions demand together: each list that isn't empty binds.
-[[nodiscard]] residency residencyOf(const std::vector<region_id> &ofRoute,
-                                    const std::vector<region_id> &ofCustomer);
+/// Combines the restrictions of a route and of a customer. A list that is not empty is a
+/// restriction.
+[[nodiscard]] residency residencyOf(const std::vector<region_id> &routeRegions,
+                                    const std::vector<region_id> &customerRegions);
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/server_directory.cpp
+++ b/src/gateway/servers/server_directory.cpp
@@ -13,41 +13,41 @@
 
 namespace {
 
-// Failures in a row after which a server is avoided. One may be a single lost answer; a server that
-// fails two in five requests shows two in a row soon.
-constexpr std::uint32_t FailuresToAvoid = 2;
-// How long a server is avoided at first, and at most; doubled by each further failure.
-constexpr milliseconds FirstAvoidance{1000};
-constexpr std::uint32_t MaxDoublings = 2;
-// A load that was told longer ago says little: requests last less than that.
-constexpr milliseconds LoadLifetime{400};
-// Cost of sending to another data centre, in requests outstanding at a server.
-constexpr double RemoteCost = 0.5;
-// The same to another region: a round trip there takes some 40 ms, longer than a request waits
-// behind one that runs.
-constexpr double FarCost = 2.0;
-// Servers may have become cold while their data centre was evacuated, and write so with one of
-// their next heartbeats, one or two seconds later; the store and its readers take another.
-constexpr milliseconds ColdNewsDelay{3500};
-// An answer that is younger than this shows that a server is there.
-constexpr milliseconds AnswerLifetime{2000};
-// Cost, for a second try, of a server that didn't answer lately: as much as of one whose slots are
-// all taken. Servers that ended look idle until the list says otherwise.
-constexpr double SilentCost = 1.0;
-// Cost of a server that is avoided: any other comes first.
+// Consecutive failures after which a server is avoided. A single failure may be one lost response;
+// a server that fails two in five requests soon has two consecutive failures.
+constexpr std::uint32_t FailuresBeforeAvoidance = 2;
+// Initial avoidance time, and how often it may be doubled; each further failure doubles it.
+constexpr milliseconds InitialAvoidance{1000};
+constexpr std::uint32_t MaxAvoidanceDoublings = 2;
+// A load report older than this is ignored: requests take less time than this.
+constexpr milliseconds LoadReportLifetime{400};
+// Cost of sending to another data centre, in outstanding requests at a server.
+constexpr double OtherDataCenterCost = 0.5;
+// Additional cost of sending to another region, in the same unit: a round trip there takes about 40
+// ms, longer than a request waits behind one that is running.
+constexpr double OtherRegionCost = 2.0;
+// Servers may have become cold while their data centre was evacuated. They publish so with one of
+// their next heartbeats, one to two seconds later; the store and its readers take another second.
+constexpr milliseconds ColdReportDelay{3500};
+// A response younger than this shows that a server is running.
+constexpr milliseconds RecentAnswerWindow{2000};
+// Cost, for a retry, of a server without a recent response: the same as of a server whose slots are
+// all taken. A server that has ended looks idle until the published list is updated.
+constexpr double NoRecentAnswerCost = 1.0;
+// Cost of an avoided server: any other server is preferred.
 constexpr double AvoidedCost = 1e6;
 
-// Part of what a cold server bears that all nodes together let go to it. What a server counts in a
-// second is more than what was sent in one: connections and busy nodes bunch requests. The
-// platform's own bound is one and a half times the rate and a few requests, so that two nodes that
-// both take the whole share, each for the only one, still keep it.
-constexpr double ColdPart = 0.75;
-// Only its answers tell that a server's limit is over, so even one that takes nothing is asked once
-// in four seconds.
-constexpr double LeastLimit = 0.25;
-// A limited server may get at once what it didn't get in this time: requests don't come evenly, and
-// without it they would be refused while the server has nothing to do.
-constexpr std::chrono::duration<double> SavedUp{0.2};
+// Share of a cold server's rate that all nodes together send. The server may count more requests in
+// a second than were sent in one, since connections and busy nodes bunch requests. The platform
+// allows one and a half times the rate plus a few requests, so two nodes that each use the whole
+// share because neither knows of the other still stay within its limit.
+constexpr double ColdRateShare = 0.75;
+// Only the server's responses show that its limit has ended, so even a server with a limit of 0
+// gets one request every four seconds.
+constexpr double MinRateLimit = 0.25;
+// A rate-limited server may get at once the requests that it did not get in this time. Requests
+// arrive unevenly; without the burst they would be refused while the server is idle.
+constexpr std::chrono::duration<double> BurstWindow{0.2};
 
 } // namespace
 
@@ -60,16 +60,16 @@
     return {text.data(), end};
 }
 
-std::optional<rate_bound> server::bound(steady_time now) const
+std::optional<effective_rate_limit> server::bound(steady_time now) const
 {
-    std::optional<rate_bound> found;
+    std::optional<effective_rate_limit> found;
     if (cold(now) && coldStart.rate > 0)
-        found = rate_bound{ColdPart * coldStart.rate};
+        found = effective_rate_limit{ColdRateShare * coldStart.rate};
     if (!rateLimit)
         return found;
-    const double limit = std::max(*rateLimit, LeastLimit);
+    const double limit = std::max(*rateLimit, MinRateLimit);
     if (!found || limit < found->perSecond)
-        found = rate_bound{limit, std::max(1.0, SavedUp.count() * limit)};
+        found = effective_rate_limit{limit, std::max(1.0, BurstWindow.count() * limit)};
     return found;
 }
 
@@ -97,17 +97,17 @@
     return found == m_regions.end() ? region_id{} : found->second;
 }
 
-void server_directory::changed(const service_id &service)
+void server_directory::notifyChange(const service_id &service)
 {
     ++m_changes;
     if (m_onChange)
         m_onChange(service);
 }
 
-// A record that doesn't tell its start says nothing against the one that is known.
-void server_directory::put(const server_record &told, milliseconds coldFor)
+// A record without a start time never replaces the start time that is already known.
+void server_directory::put(const server_record &published, milliseconds coldFor)
 {
-    auto record = told;
+    auto record = published;
     if (const auto known = find(record.id)) {
         if (!record.born)
             record.born = known->record.born;
@@ -122,8 +122,8 @@
     const auto coldUntil = m_clock.now() + coldFor;
     if (!entry) {
         entry = std::make_shared<server>();
-        if (const auto past = m_past.extract(record.start()); !past.empty())
-            static_cast<kept_signals &>(*entry) = past.mapped().signals;
+        if (const auto unpublished = m_unpublished.extract(record.start()); !unpublished.empty())
+            static_cast<retained_signals &>(*entry) = unpublished.mapped().signals;
         entry->record = record;
         entry->coldStart = m_coldStarts[record.service];
         entry->coldUntil = coldUntil;
@@ -133,7 +133,7 @@
         auto &servers = m_byService[record.service];
         servers.all.push_back(entry);
         servers.byDataCenter[record.dataCenter].push_back(entry);
-        changed(record.service);
+        notifyChange(record.service);
         return;
     }
     if (coldFor > milliseconds{0})
@@ -141,7 +141,7 @@
     const bool differs = entry->record.leaving != record.leaving;
     entry->record = record;
     if (differs)
-        changed(record.service);
+        notifyChange(record.service);
 }
 
 void server_directory::setColdStart(const service_id &service, const cold_start &start)
@@ -158,12 +158,12 @@
         return;
     const auto entry = found->second;
     entry->gone = true;
-    keepSignals(entry->record.start(), *entry);
+    retainSignals(entry->record.start(), *entry);
     auto &servers = m_byService[entry->record.service];
     std::erase(servers.all, entry);
     std::erase(servers.byDataCenter[entry->record.dataCenter], entry);
     m_servers.erase(found);
-    changed(entry->record.service);
+    notifyChange(entry->record.service);
 }
 
 void server_directory::setCutOff(const data_center_id &dataCenter, bool cutOff)
@@ -172,7 +172,7 @@
         m_cutOff.insert(dataCenter);
     else
         m_cutOff.erase(dataCenter);
-    changeIn(dataCenter, [&](server &each) { each.cutOff = cutOff; });
+    updateServersIn(dataCenter, [&](server &each) { each.cutOff = cutOff; });
 }
 
 void server_directory::setEvacuated(const data_center_id &dataCenter, bool evacuated)
@@ -182,39 +182,40 @@
     else
         m_evacuated.erase(dataCenter);
     const auto now = m_clock.now();
-    changeIn(dataCenter, [&](server &each) {
-        const bool returns = std::exchange(each.evacuated, evacuated) && !evacuated;
-        if (returns)
+    updateServersIn(dataCenter, [&](server &each) {
+        const bool reopened = std::exchange(each.evacuated, evacuated) && !evacuated;
+        if (reopened)
             each.coldUntil =
-                std::max(each.coldUntil, now + std::min(each.coldStart.time, ColdNewsDelay));
+                std::max(each.coldUntil, now + std::min(each.coldStart.time, ColdReportDelay));
     });
 }
 
-template <class Change>
-void server_directory::changeIn(const data_center_id &dataCenter, Change change)
+template <class Update>
+void server_directory::updateServersIn(const data_center_id &dataCenter, Update update)
 {
     std::set<service_id> services;
     for (const auto &[id, each] : m_servers) {
         if (each->record.dataCenter != dataCenter)
             continue;
-        change(*each);
+        update(*each);
         services.insert(each->record.service);
     }
     for (const auto &service : services)
-        changed(service);
+        notifyChange(service);
 }
 
 server_ptr server_directory::anyIn(const data_center_id &dataCenter)
 {
-    const auto isThere = [&](const auto &entry) {
+    const auto isInDataCenter = [&](const auto &entry) {
         return entry.second->record.dataCenter == dataCenter;
     };
-    auto found = std::find_if(m_servers.upper_bound(m_lastAsked), m_servers.end(), isThere);
+    auto found =
+        std::find_if(m_servers.upper_bound(m_lastReturned), m_servers.end(), isInDataCenter);
     if (found == m_servers.end())
-        found = std::find_if(m_servers.begin(), m_servers.end(), isThere);
+        found = std::find_if(m_servers.begin(), m_servers.end(), isInDataCenter);
     if (found == m_servers.end())
         return nullptr;
-    m_lastAsked = found->first;
+    m_lastReturned = found->first;
     return found->second;
 }
 
@@ -255,7 +256,7 @@
     return servers;
 }
 
-const std::vector<server_ptr> *server_directory::listFor(const pool_key &pool) const
+const std::vector<server_ptr> *server_directory::findServerList(const pool_key &pool) const
 {
     const auto found = m_byService.find(pool.service);
     if (found == m_byService.end())
@@ -269,7 +270,7 @@
 std::vector<server_ptr> server_directory::usable(const pool_key &pool) const
 {
     std::vector<server_ptr> servers;
-    if (const auto *list = listFor(pool))
+    if (const auto *list = findServerList(pool))
         std::ranges::copy_if(*list, std::back_inserter(servers), [&](const server_ptr &each) {
             return each->usable() && each->isIn(pool);
         });
@@ -278,7 +279,7 @@
 
 bool server_directory::usableIn(const service_id &service, const data_center_id &dataCenter) const
 {
-    const auto *list = listFor({service, dataCenter, {}});
+    const auto *list = findServerList({service, dataCenter, {}});
     return list
         && std::ranges::any_of(*list, [](const server_ptr &each) { return each->usable(); });
 }
@@ -303,33 +304,34 @@
     });
 }
 
-template <class Counts>
-server_absence server_directory::absenceAmong(const service_id &service, server_absence otherwise,
-                                              Counts counts) const
+template <class Predicate>
+server_absence server_directory::absenceAmong(const service_id &service,
+                                              server_absence defaultReason,
+                                              Predicate isRelevant) const
 {
     const auto found = m_byService.find(service);
     if (found == m_byService.end())
-        return otherwise;
-    auto why = otherwise;
+        return defaultReason;
+    auto reason = defaultReason;
     for (const auto &each : found->second.all) {
-        if (!counts(*each))
+        if (!isRelevant(*each))
             continue;
         if (each->usable())
             return server_absence::None;
         const bool leaves = !each->gone && !each->cutOff && each->leaves();
         if (each->evacuated && !each->leaves())
-            why = server_absence::Evacuated;
-        else if (leaves && why != server_absence::Evacuated)
-            why = server_absence::Leaving;
+            reason = server_absence::Evacuated;
+        else if (leaves && reason != server_absence::Evacuated)
+            reason = server_absence::Leaving;
     }
-    return why;
+    return reason;
 }
 
 server_absence server_directory::absenceOf(const service_id &service,
                                            const residency &allowed) const
 {
-    const auto otherwise = allowed.bound() ? server_absence::OutOfRegion : server_absence::Gone;
-    return absenceAmong(service, otherwise,
+    const auto defaultReason = allowed.bound() ? server_absence::OutOfRegion : server_absence::Gone;
+    return absenceAmong(service, defaultReason,
                         [&](const server &each) { return allowed.allows(each.region); });
 }
 
@@ -339,35 +341,36 @@
                         [&](const server &each) { return each.isIn(pool); });
 }
 
-double server_directory::costOf(const server &which, const server_wish &wish) const
+double server_directory::costOf(const server &backend, const server_wish &wish) const
 {
     const auto now = m_clock.now();
-    double cost = which.outstanding;
-    if (which.load && now - which.loadAt < LoadLifetime) {
-        const double told = which.load->running + which.load->waiting;
-        cost = std::max(cost, told);
+    double cost = backend.outstanding;
+    if (backend.load && now - backend.loadAt < LoadReportLifetime) {
+        const double reported = backend.load->running + backend.load->waiting;
+        cost = std::max(cost, reported);
     }
-    cost /= std::max(1U, which.record.slots);
-    if (!wish.near.empty() && which.record.dataCenter != wish.near)
-        cost += RemoteCost / std::max(1U, which.record.slots);
-    if (m_severalRegions && !wish.near.empty() && which.region != regionOf(wish.near))
-        cost += FarCost / std::max(1U, which.record.slots);
-    if (!wish.exclude.empty() && !answeredLately(which))
-        cost += SilentCost;
-    if (which.avoidUntil > now)
+    cost /= std::max(1U, backend.record.slots);
+    if (!wish.near.empty() && backend.record.dataCenter != wish.near)
+        cost += OtherDataCenterCost / std::max(1U, backend.record.slots);
+    if (m_severalRegions && !wish.near.empty() && backend.region != regionOf(wish.near))
+        cost += OtherRegionCost / std::max(1U, backend.record.slots);
+    if (!wish.exclude.empty() && !answeredRecently(backend))
+        cost += NoRecentAnswerCost;
+    if (backend.avoidUntil > now)
         cost += AvoidedCost;
     return cost;
 }
 
-bool server_directory::answeredLately(const server &which) const
+bool server_directory::answeredRecently(const server &backend) const
 {
-    return which.answeredAt && m_clock.now() - *which.answeredAt < AnswerLifetime;
+    return backend.lastAnswerAt && m_clock.now() - *backend.lastAnswerAt < RecentAnswerWindow;
 }
 
-// With many nodes and little traffic most servers cost the same most of the time. Were all nodes to
-// take the first of them, it would get the requests of all. Each takes two of its own in turn, so
-// that all servers are some nodes' choice, and connections are used again.
-server_ptr server_directory::preferred(const std::vector<server_ptr> &equals) const
+// With many nodes and little traffic, most servers have equal cost most of the time. If all nodes
+// took the first of them, it would get the requests of all nodes. Each node therefore alternates
+// between its own two servers by rendezvous hash, which spreads the nodes over all servers and
+// reuses connections.
+server_ptr server_directory::chooseAmongEqual(const std::vector<server_ptr> &equalServers) const
 {
     struct ranked
     {
@@ -376,15 +379,15 @@
     };
     ranked first;
     ranked second;
-    for (const auto &each : equals) {
+    for (const auto &each : equalServers) {
         ranked next{each, rendezvousWeight(m_self.value, each->record.id.value)};
         if (!first.server || next.weight > first.weight)
             std::swap(first, next);
         if (!second.server || next.weight > second.weight)
             second = std::move(next);
     }
-    const bool inTurn = second.server && second.server->sentAt < first.server->sentAt;
-    return inTurn ? second.server : first.server;
+    const bool useSecond = second.server && second.server->sentAt < first.server->sentAt;
+    return useSecond ? second.server : first.server;
 }
 
 server_ptr server_directory::choose(const server_wish &wish) const
@@ -404,35 +407,36 @@
         bestCost = cost;
         best.push_back(each);
     }
-    return preferred(best);
+    return chooseAmongEqual(best);
 }
 
-void server_directory::onAnswerBegun(const server &which) const
+void server_directory::onAnswerBegun(const server &backend) const
 {
     if (m_onHeard)
-        m_onHeard(which.record.dataCenter);
+        m_onHeard(backend.record.dataCenter);
 }
 
-void server_directory::onAnswer(server &which)
+void server_directory::onAnswer(server &backend)
 {
-    onAnswerBegun(which);
-    which.answeredAt = m_clock.now();
-    const bool wasAvoided = which.failures >= FailuresToAvoid;
-    which.failures = 0;
-    which.avoidUntil = {};
+    onAnswerBegun(backend);
+    backend.lastAnswerAt = m_clock.now();
+    const bool wasAvoided = backend.failures >= FailuresBeforeAvoidance;
+    backend.failures = 0;
+    backend.avoidUntil = {};
     if (wasAvoided && m_onDoubt)
-        m_onDoubt(which, false);
+        m_onDoubt(backend, false);
 }
 
-void server_directory::onFailure(server &which)
+void server_directory::onFailure(server &backend)
 {
-    ++which.failures;
-    if (which.failures < FailuresToAvoid)
+    ++backend.failures;
+    if (backend.failures < FailuresBeforeAvoidance)
         return;
-    const auto doublings = std::min(which.failures - FailuresToAvoid, MaxDoublings);
-    which.avoidUntil = m_clock.now() + FirstAvoidance * (1U << doublings);
-    if (which.failures == FailuresToAvoid && m_onDoubt)
-        m_onDoubt(which, true);
+    const auto doublings =
+        std::min(backend.failures - FailuresBeforeAvoidance, MaxAvoidanceDoublings);
+    backend.avoidUntil = m_clock.now() + InitialAvoidance * (1U << doublings);
+    if (backend.failures == FailuresBeforeAvoidance && m_onDoubt)
+        m_onDoubt(backend, true);
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/server_directory.h
+++ b/src/gateway/servers/server_directory.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "gateway/servers/cold_start.h"
+#include "gateway/servers/effective_rate_limit.h"
 #include "gateway/servers/pool_key.h"
-#include "gateway/servers/rate_bound.h"
 #include "gateway/servers/residency.h"
 #include "gateway/servers/server_signals.h"
 
@@ -22,18 +22,18 @@
 
 namespace orchidlead::gateway {
 
-/// Names one start of a backend server: it may start again under its id, and then knows and holds
-/// nothing of before.
+/// Identifies one start of a backend server. A server that restarts under its id has lost all its
+/// earlier state.
 struct server_start
 {
     backend_server_id id;
-    std::optional<std::uint64_t> born; ///< Unix milliseconds; empty: it doesn't say
+    std::optional<std::uint64_t> born; ///< start time in Unix milliseconds; empty: not published
 
     // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
     friend auto operator<=>(const server_start &, const server_start &) = default;
 };
 
-/// A backend server as the platform publishes it.
+/// A backend server as published by the platform.
 struct server_record
 {
     backend_server_id id;
@@ -48,64 +48,72 @@
     friend bool operator==(const server_record &, const server_record &) = default;
 };
 
-/// Writes a limit as operators read it: requests a second, or "none".
+/// Formats a rate limit for operators: requests per second, or "none".
 [[nodiscard]] std::string rateLimitText(const std::optional<double> &perSecond);
 
-/// What a start of a server said of itself, and what holds until it says otherwise.
-struct kept_signals
+/// What a start of a server has announced in its responses; valid until a later response of that
+/// start changes it.
+struct retained_signals
 {
     std::optional<double> rateLimit; ///< as in `told_rate_limit`
-    steady_time rateLimitAt{}; ///< when an answer last said so, or that there is none
-    bool saidLeaving = false; ///< holds for good, whatever is published
-    steady_time backoffUntil{}; ///< it wants nothing of this node until then
-    bool proving = false; ///< it has taken no request since
-    steady_time probeUntil{}; ///< while it proves itself, one request goes there until then
+    steady_time rateLimitReportedAt{}; ///< time of the last report, also of one of no limit
+    bool saidLeaving = false; ///< permanent, whatever the published record says
+    steady_time backoffUntil{}; ///< end of the backoff that the server requested from this node
+    bool probing = false; ///< the server has accepted no request since the end of the backoff
+    steady_time probeUntil{}; ///< while `probing`: no second request is sent before this time
 };
 
-/// One start of a server with what this node knows of it.
-struct server : kept_signals
+/// One start of a server with the state that this node keeps for it.
+struct server : retained_signals
 {
     server_record record;
-    region_id region; ///< of its data centre; empty: not known
-    bool gone = false; ///< no longer published, or its address answers for another server
-    bool cutOff = false; ///< nothing is heard of its data centre
+    region_id region; ///< region of its data centre; empty: unknown
+    bool gone = false; ///< no longer published, or another server uses its address
+    bool cutOff = false; ///< its data centre can't be reached
     bool evacuated = false; ///< operators have evacuated its data centre
-    std::uint32_t outstanding = 0; ///< requests of this node
+    std::uint32_t outstanding = 0; ///< requests of this node in progress
     std::optional<server_load> load;
-    steady_time loadAt{}; ///< when the load was told
-    steady_time sentAt{}; ///< when this node last sent it a request
-    std::optional<steady_time> answeredAt; ///< when it last answered this node
-    std::uint32_t failures = 0; ///< in a row
-    std::uint32_t refusals = 0; ///< in a row, those of one moment counted once
-    steady_time avoidUntil{}; ///< doubted until then
-    cold_start coldStart; ///< as its service says
-    steady_time coldUntil{}; ///< bears only few requests until then
-    double slowness = 1.0; ///< time that its work takes against what is expected, averaged
+    steady_time loadAt{}; ///< time of the load report
+    steady_time sentAt{}; ///< time of the last request from this node
+    std::optional<steady_time> lastAnswerAt; ///< time of the last response to this node
+    std::uint32_t failures = 0; ///< consecutive
+    std::uint32_t refusals =
+        0; ///< consecutive; those that arrive while the server is already avoided count once
+    steady_time avoidUntil{}; ///< end of the avoidance after failures or refusals
+    cold_start coldStart; ///< settings of its service
+    steady_time
+        coldUntil{}; ///< end of the cold phase, in which the server can handle only few requests
+    double slowness = 1.0; ///< moving average of actual time relative to expected time of its work
 
-    /// Whether it has just started, and crashes under more requests than its service says.
+    /// Returns whether the server is in its cold phase, in which it crashes if it gets more
+    /// requests than its service's settings allow.
     [[nodiscard]] bool cold(steady_time now) const { return now < coldUntil; }
-    /// How long it will be yet.
+    /// Returns the remaining time of the cold phase.
     [[nodiscard]] milliseconds coldLeft(steady_time now) const
     {
         return std::chrono::duration_cast<milliseconds>(
             std::max(coldUntil - now, steady_time::duration::zero()));
     }
-    /// How many requests all nodes together may send it; empty: as many as it answers. Every path
-    /// that chooses servers asks this, cold starts and limits alike.
-    [[nodiscard]] std::optional<rate_bound> bound(steady_time now) const;
-    /// Whether it is one of the servers of a pool.
+    /// Returns the limit on the requests of all nodes together; empty if there is none. Every path
+    /// that chooses servers must check this: it combines cold starts and announced rate limits.
+    [[nodiscard]] std::optional<effective_rate_limit> bound(steady_time now) const;
+    /// Returns whether the server belongs to a pool.
     [[nodiscard]] bool isIn(const pool_key &pool) const;
-    /// Whether it ends soon, as published or as its answers say.
+    /// Returns whether the server shuts down soon, according to its published record or its
+    /// responses.
     [[nodiscard]] bool leaves() const { return record.leaving || saidLeaving; }
-    /// Whether it may get new work. Every path to a server asks this, at last as bytes are sent.
+    /// Returns whether the server may get new work. Every path to a server checks this, the last
+    /// time right before bytes are sent.
     [[nodiscard]] bool usable() const { return !gone && !cutOff && !evacuated && !leaves(); }
-    /// From when on it takes requests of this node, as far as it asked for time.
+    /// Returns the time from which on this node may send requests to the server, as far as backoff
+    /// and probing are concerned.
     [[nodiscard]] steady_time takesFrom() const
     {
-        return proving ? std::max(backoffUntil, probeUntil) : backoffUntil;
+        return probing ? std::max(backoffUntil, probeUntil) : backoffUntil;
     }
-    /// Whether this node may send it a request now. Asked like `usable()` by every path on which
-    /// this node sends by itself; what it asked of one node doesn't bind the others.
+    /// Returns whether this node may send a request now. Like `usable()`, this is checked by every
+    /// path on which this node itself sends. A backoff requested from one node does not apply to
+    /// others.
     [[nodiscard]] bool takes(steady_time now) const { return usable() && now >= takesFrom(); }
 };
 
@@ -113,180 +121,187 @@
 
 /// Why no server of a service may get new work.
 enum class server_absence : std::uint8_t {
-    None, ///< there is one
-    Gone, ///< none is published, reached, or stays
-    Leaving, ///< those that there are end soon
-    Evacuated, ///< those that there are lie in data centres that operators have evacuated
-    OutOfRegion, ///< none can be reached in the regions where the work may be done
+    None, ///< a server is available
+    Gone, ///< no server is published and reachable
+    Leaving, ///< all servers left are leaving
+    Evacuated, ///< the servers left are in data centres that operators have evacuated
+    OutOfRegion, ///< no server is reachable in the allowed regions
 };
 
-/// Draws by how much longer than asked for a server is left alone, in parts of the time.
+/// Returns a random extension of a requested backoff, as a fraction of its length.
 using backoff_spread = std::function<double()>;
 
-/// What a choice takes into account.
+/// Criteria for choosing a server.
 struct server_wish
 {
     service_id service;
-    std::vector<backend_server_id> exclude; ///< tried already; where there are some, others that
-                                            ///< answered lately go first
-    data_center_id near; ///< preferred
+    std::vector<backend_server_id> exclude; ///< servers already tried; if there are any, servers
+                                            ///< with a recent response are preferred
+    data_center_id near; ///< preferred data centre
     residency allowed;
 };
 
-/// Knows the backend servers, and chooses among them.
+/// Keeps the state of the backend servers and chooses among them.
 ///
-/// A server that fails several times in a row is avoided for a while; where all are, the choice
-/// falls on them all the same.
+/// A server with several consecutive failures is avoided for a while. If all servers are avoided,
+/// one of them is chosen nevertheless.
 class server_directory
 {
 public:
     explicit server_directory(const clock_source &clock);
 
-    /// Which node this is: between servers that cost the same each node prefers others.
+    /// Sets the VM of this node. Among servers of equal cost, each node prefers different ones.
     void setSelf(const vm_id &self) { m_self = self; }
-    /// Which region each data centre belongs to; call before servers are put.
+    /// Sets the region of each data centre; call before adding servers.
     void setRegions(std::map<data_center_id, region_id> regions);
-    /// Whether there is more than one region.
+    /// Returns whether there is more than one region.
     [[nodiscard]] bool severalRegions() const { return m_severalRegions; }
-    /// The region of a data centre; empty where it isn't known.
+    /// Returns the region of a data centre; empty if unknown.
     [[nodiscard]] region_id regionOf(const data_center_id &dataCenter) const;
-    /// Adds a server, or takes a newer record of it. Nothing that was believed of an earlier start
-    /// holds for a later one; a record of an earlier start is ignored. `coldFor`: as the server
-    /// says; 0 says nothing new.
+    /// Adds a server or updates its record. A later start of the server gets fresh state; a record
+    /// of an earlier start is ignored. `coldFor` is the remaining cold time that the server
+    /// published; 0 leaves the known value unchanged.
     void put(const server_record &record, milliseconds coldFor = {});
-    /// What a service says of its servers' cold starts, those that are known included.
+    /// Sets the cold-start settings of a service, for known servers as well.
     void setColdStart(const service_id &service, const cold_start &start);
     void remove(const backend_server_id &id);
     [[nodiscard]] server_ptr find(const backend_server_id &id) const;
-    /// All servers that are published, by id.
+    /// Returns all published servers, ordered by id.
     [[nodiscard]] std::vector<server_ptr> all() const;
-    /// Finds the server that has that address now.
+    /// Returns the server that has the address at present.
     [[nodiscard]] server_ptr findAt(const socket_address &address) const;
-    /// Servers of a service that may get new work.
+    /// Returns the servers of a service that may get new work.
     [[nodiscard]] std::vector<server_ptr> usable(const service_id &service,
                                                  const residency &allowed = {}) const;
-    /// Those of them that are in a pool.
+    /// Returns the usable servers of a pool.
     [[nodiscard]] std::vector<server_ptr> usable(const pool_key &pool) const;
     [[nodiscard]] bool usableIn(const service_id &service, const data_center_id &dataCenter) const;
-    /// Whether some of a service's usable servers are bounded: the requests of all nodes must then
-    /// be placed in one place.
+    /// Returns whether any usable server of a service is rate-limited. The requests of all nodes
+    /// must then be placed by a single node.
     [[nodiscard]] bool anyBounded(const service_id &service, const residency &allowed) const;
-    /// Whether there are some, and each of them is.
+    /// Returns whether the service has usable servers and all of them are rate-limited.
     [[nodiscard]] bool allBounded(const service_id &service, const residency &allowed) const;
-    /// How long all usable servers of a service want nothing of this node, until the first of them
-    /// takes something again; empty: some take requests, or there are none.
+    /// Returns the time until the first usable server of a service accepts requests of this node
+    /// again; empty if one accepts requests now, or if there are no usable servers.
     [[nodiscard]] std::optional<milliseconds> backoffOf(const service_id &service,
                                                         const residency &allowed) const;
-    /// The same of a pool.
+    /// Returns the same for the servers of a pool.
     [[nodiscard]] std::optional<milliseconds> backoffOf(const pool_key &pool) const;
-    /// The same of servers that are usable.
+    /// Returns the same for a list of usable servers.
     [[nodiscard]] std::optional<milliseconds>
     backoffOf(const std::vector<server_ptr> &servers) const;
-    /// Servers of a service that nobody may choose for this node now: those that asked it for time,
-    /// and those that refuse, as long as others are left.
+    /// Returns the servers of a service that must not be chosen for this node now: those in a
+    /// backoff that they requested from this node, and those that refuse requests, as long as other
+    /// servers are left.
     [[nodiscard]] std::vector<backend_server_id> passedOver(const service_id &service,
                                                             const residency &allowed) const;
-    /// Why work that is bound to regions finds no server of a service.
+    /// Returns why no server of a service is available in the allowed regions.
     [[nodiscard]] server_absence absenceOf(const service_id &service,
                                            const residency &allowed) const;
-    /// Why a pool has no server that may get new work.
+    /// Returns why no server of a pool may get new work.
     [[nodiscard]] server_absence absenceOf(const pool_key &pool) const;
-    /// How often a server appeared, changed or left, with one for the start.
+    /// Returns a version number that increases whenever a server appears, changes or is removed;
+    /// starts at 1.
     [[nodiscard]] std::uint64_t changes() const { return m_changes; }
 
-    /// Chooses the server for a request, none that is bounded; null where there is none.
+    /// Chooses the server for a request; never a rate-limited one. Returns null if there is none.
     [[nodiscard]] server_ptr choose(const server_wish &wish) const;
 
-    /// An answer to this node began.
-    void onAnswerBegun(const server &which) const;
-    void onAnswer(server &which);
-    /// An answer that didn't come, was broken, or was an error.
-    void onFailure(server &which);
-    /// Spreads the ends of times that servers ask for: many nodes are asked at once. None by
-    /// default.
+    /// Called when a response to this node begins.
+    void onAnswerBegun(const server &backend) const;
+    void onAnswer(server &backend);
+    /// Called when a request got no response, a broken one, or an error.
+    void onFailure(server &backend);
+    /// Sets the function that extends requested backoffs at random, so that the backoffs of many
+    /// nodes don't end together. By default they are not extended.
     void setBackoffSpread(backoff_spread spread) { m_backoffSpread = std::move(spread); }
-    /// A request's bytes go to the server now, and others may follow at once. Every path to a
-    /// server calls this.
-    void onSending(server &which);
-    /// An answer of the server began, whatever its status. Every path that gets answers calls this.
-    void onSignals(server &which, const server_signals &told);
-    /// Another node heard that this start leaves; it may not be published here yet. Gives whether
-    /// that is news.
-    bool onLeavingElsewhere(const server_start &start);
-    /// All starts that are known to leave by what their answers said, of late.
-    [[nodiscard]] std::vector<server_start> startsThatLeave() const;
-    /// What an answer says of its limit holds until the next one says otherwise.
-    void onRateLimit(server &which, const told_rate_limit &told);
-    /// The same of an answer that another node had, at `heardAt`.
-    void onRateLimit(server &which, const told_rate_limit &told, steady_time heardAt);
+    /// Called by every path to a server when the bytes of a request are sent. Other requests may
+    /// follow at once.
+    void onSending(server &backend);
+    /// Called by every path that receives responses when a response begins, whatever its status.
+    void onSignals(server &backend, const server_signals &reported);
+    /// Called when another node reports that this start is leaving; the start may not be published
+    /// here yet. Returns whether this node did not know so before.
+    bool onPeerReportedLeaving(const server_start &start);
+    /// Returns all starts that are known to be leaving from responses, including those that were
+    /// published until recently.
+    [[nodiscard]] std::vector<server_start> leavingStarts() const;
+    /// Applies the rate limit of a response to this node; it is valid until the next response
+    /// changes it.
+    void onRateLimit(server &backend, const told_rate_limit &reported);
+    /// Applies the rate limit of a response that another node got at `receivedAt`.
+    void onRateLimit(server &backend, const told_rate_limit &reported, steady_time receivedAt);
 
-    /// All servers of a data centre can or can't be reached from now on.
+    /// Marks all servers of a data centre as unreachable or reachable.
     void setCutOff(const data_center_id &dataCenter, bool cutOff);
-    /// All servers of a data centre get nothing new from now on, or again. Those that do again are
-    /// taken to be cold until they had the time to say so.
+    /// Marks all servers of a data centre as evacuated, so that they get no new work, or ends the
+    /// evacuation. After the evacuation the servers are treated as cold until they have had time to
+    /// publish that they are.
     void setEvacuated(const data_center_id &dataCenter, bool evacuated);
-    /// Gives one server of a data centre after the other, published ones, whatever their state;
-    /// null where there is none.
+    /// Returns the published servers of a data centre in turn, whatever their state; null if there
+    /// is none.
     [[nodiscard]] server_ptr anyIn(const data_center_id &dataCenter);
 
-    /// Called when a server of a data centre answers, or has answered.
+    /// Called when a response of a server of the data centre begins or is complete.
     void onHeard(std::function<void(const data_center_id &)> handler)
     {
         m_onHeard = std::move(handler);
     }
-    /// Called when bytes of a request go to a server of a data centre.
+    /// Called when bytes of a request are sent to a server of the data centre.
     void onSent(std::function<void(const data_center_id &)> handler)
     {
         m_onSent = std::move(handler);
     }
-    /// Called when a server begins to be avoided, and when it is trusted again.
+    /// Called when a server starts being avoided, and when it responds again.
     void onDoubt(std::function<void(const server &, bool avoided)> handler)
     {
         m_onDoubt = std::move(handler);
     }
-    /// Called when a server names another limit than before, or none any more.
+    /// Called when a server announces a different rate limit, or that it no longer has one.
     void
     onRateLimitChanged(std::function<void(const server &, std::optional<double> before)> handler)
     {
         m_onRateLimitChanged = std::move(handler);
     }
-    /// Called when an answer of a server first says that it leaves.
+    /// Called when a response of a server first announces that it is leaving.
     void onLeavingSaid(std::function<void(const server &)> handler)
     {
         m_onLeavingSaid = std::move(handler);
     }
-    /// Called when a server wants nothing of this node for longer than it had said.
+    /// Called when a server requests a backoff from this node that ends later than the present one.
     void onBackoff(std::function<void(const server &, milliseconds time)> handler)
     {
         m_onBackoff = std::move(handler);
     }
-    /// Called when a server appears, changes, or leaves.
+    /// Called when a server appears, changes or is removed.
     void onChange(std::function<void(const service_id &)> handler)
     {
         m_onChange = std::move(handler);
     }
 
 private:
-    [[nodiscard]] double costOf(const server &which, const server_wish &wish) const;
-    /// Whether this node had an answer of it lately.
-    [[nodiscard]] bool answeredLately(const server &which) const;
-    /// Chooses among servers that cost the same; null where there are none.
-    [[nodiscard]] server_ptr preferred(const std::vector<server_ptr> &equals) const;
-    void changed(const service_id &service);
-    /// Why none of the servers of a service that count may get new work; `otherwise` where
-    /// operators haven't evacuated one of them.
-    template <class Counts>
-    [[nodiscard]] server_absence absenceAmong(const service_id &service, server_absence otherwise,
-                                              Counts counts) const;
-    /// The server refused a request that it hasn't run.
-    void onRefused(server &which);
-    void onRetryAfter(server &which, milliseconds time);
-    void keepSignals(const server_start &start, const kept_signals &signals);
-    /// Whether what was heard of that start still counts.
-    [[nodiscard]] bool remembers(const server_start &start) const;
-    /// Changes all servers of a data centre.
-    template <class Change>
-    void changeIn(const data_center_id &dataCenter, Change change);
+    [[nodiscard]] double costOf(const server &backend, const server_wish &wish) const;
+    /// Returns whether this node recently got a response of the server.
+    [[nodiscard]] bool answeredRecently(const server &backend) const;
+    /// Chooses among servers of equal cost; null if the list is empty.
+    [[nodiscard]] server_ptr chooseAmongEqual(const std::vector<server_ptr> &equalServers) const;
+    void notifyChange(const service_id &service);
+    /// Returns why none of the servers of a service that match `isRelevant` may get new work.
+    /// Returns `defaultReason` if none of them is evacuated or leaving.
+    template <class Predicate>
+    [[nodiscard]] server_absence absenceAmong(const service_id &service,
+                                              server_absence defaultReason,
+                                              Predicate isRelevant) const;
+    /// Called when the server refused a request without running it.
+    void onRefused(server &backend);
+    void onRetryAfter(server &backend, milliseconds time);
+    void retainSignals(const server_start &start, const retained_signals &signals);
+    /// Returns whether the signals of this start are still valid: it is published, or was until
+    /// recently.
+    [[nodiscard]] bool isTracked(const server_start &start) const;
+    /// Updates all servers of a data centre.
+    template <class Update>
+    void updateServersIn(const data_center_id &dataCenter, Update update);
 
     const clock_source &m_clock;
     vm_id m_self;
@@ -297,23 +312,23 @@
         std::vector<server_ptr> all;
         std::map<data_center_id, std::vector<server_ptr>> byDataCenter;
     };
-    /// Servers of a service that may be in a pool; null where there are none.
-    [[nodiscard]] const std::vector<server_ptr> *listFor(const pool_key &pool) const;
+    /// Returns the servers of a service that may belong to a pool; null if there are none.
+    [[nodiscard]] const std::vector<server_ptr> *findServerList(const pool_key &pool) const;
 
     std::unordered_map<service_id, service_servers> m_byService;
-    struct past_signals
+    struct unpublished_signals
     {
-        kept_signals signals;
-        steady_time until; ///< forgotten then
+        retained_signals signals;
+        steady_time expiresAt; ///< discarded at this time
     };
-    std::map<server_start, past_signals> m_past; ///< of starts that aren't published now
-    std::set<server_start> m_saidLeaving; ///< published ones and those in `m_past`
+    std::map<server_start, unpublished_signals> m_unpublished; ///< not published at present
+    std::set<server_start> m_saidLeaving; ///< published starts and those in `m_unpublished`
     std::map<data_center_id, region_id> m_regions;
     bool m_severalRegions = false;
     std::unordered_map<service_id, cold_start> m_coldStarts;
     std::set<data_center_id> m_cutOff;
     std::set<data_center_id> m_evacuated;
-    backend_server_id m_lastAsked; ///< that `anyIn` gave
+    backend_server_id m_lastReturned; ///< last result of `anyIn`
     backoff_spread m_backoffSpread;
     std::function<void(const data_center_id &)> m_onHeard;
     std::function<void(const data_center_id &)> m_onSent;
--- a/src/gateway/servers/server_directory_signals.cpp
+++ b/src/gateway/servers/server_directory_signals.cpp
@@ -4,68 +4,70 @@
 #include <iterator>
 #include <utility>
 
-/// The part of a directory that takes down what servers say of themselves.
+/// The part of the directory that records what servers announce in their responses.
 namespace orchidlead::gateway {
 
 namespace {
 
-// How long a server that refused is passed over, at first a few of its requests' time. Each further
-// refusal in a row makes it longer: a server that refuses at once looks the emptiest, and would be
-// the first choice of every request.
-constexpr milliseconds RefusedAvoidance{60};
-constexpr std::uint32_t RefusedGrowth = 4;
-constexpr std::uint32_t MaxRefusedSteps = 3;
-// A server that had asked for time gets one request alone, until it has taken it or for so long.
-constexpr milliseconds ProbeTime{500};
-// How long signals of a start that isn't published are kept: entries lapse and come back while the
-// store is away, and answers tell that a server leaves before a list that is behind names it.
-constexpr std::chrono::seconds SignalMemory{60};
+// Initial time for which a server that refused a request is avoided, about as long as a few of its
+// requests take. Each further consecutive refusal multiplies it: a server that refuses at once has
+// the lowest load and would be the first choice for every request.
+constexpr milliseconds InitialRefusalAvoidance{60};
+constexpr std::uint32_t RefusalAvoidanceGrowth = 4;
+constexpr std::uint32_t MaxRefusalGrowthSteps = 3;
+// After a requested backoff, a server gets one request at a time until it accepts one or this time
+// has passed.
+constexpr milliseconds ProbeTimeout{500};
+// How long the signals of a start that is not published are kept. Published entries expire and
+// reappear while the store is unavailable, and responses report that a server is leaving before a
+// list that lags behind contains the server.
+constexpr std::chrono::seconds UnpublishedSignalLifetime{60};
 
 } // namespace
 
-void server_directory::keepSignals(const server_start &start, const kept_signals &signals)
+void server_directory::retainSignals(const server_start &start, const retained_signals &signals)
 {
     const auto now = m_clock.now();
-    std::erase_if(m_past, [&](const auto &entry) { return now >= entry.second.until; });
-    m_past[start] = {signals, now + SignalMemory};
-    std::erase_if(m_saidLeaving, [&](const server_start &each) { return !remembers(each); });
+    std::erase_if(m_unpublished, [&](const auto &entry) { return now >= entry.second.expiresAt; });
+    m_unpublished[start] = {signals, now + UnpublishedSignalLifetime};
+    std::erase_if(m_saidLeaving, [&](const server_start &each) { return !isTracked(each); });
 }
 
-bool server_directory::remembers(const server_start &start) const
+bool server_directory::isTracked(const server_start &start) const
 {
     if (const auto known = find(start.id); known && known->record.start() == start)
         return true;
-    const auto past = m_past.find(start);
-    return past != m_past.end() && m_clock.now() < past->second.until;
+    const auto unpublished = m_unpublished.find(start);
+    return unpublished != m_unpublished.end() && m_clock.now() < unpublished->second.expiresAt;
 }
 
-bool server_directory::onLeavingElsewhere(const server_start &start)
+bool server_directory::onPeerReportedLeaving(const server_start &start)
 {
     const auto known = find(start.id);
     if (known && known->record.start() == start) {
         if (std::exchange(known->saidLeaving, true))
             return false;
         m_saidLeaving.insert(start);
-        changed(known->record.service);
+        notifyChange(known->record.service);
         return true;
     }
     if (known && start.born < known->record.born)
         return false;
-    kept_signals signals;
-    if (const auto past = m_past.find(start); past != m_past.end())
-        signals = past->second.signals;
+    retained_signals signals;
+    if (const auto unpublished = m_unpublished.find(start); unpublished != m_unpublished.end())
+        signals = unpublished->second.signals;
     if (std::exchange(signals.saidLeaving, true))
         return false;
     m_saidLeaving.insert(start);
-    keepSignals(start, signals);
+    retainSignals(start, signals);
     return true;
 }
 
-std::vector<server_start> server_directory::startsThatLeave() const
+std::vector<server_start> server_directory::leavingStarts() const
 {
     std::vector<server_start> starts;
     std::ranges::copy_if(m_saidLeaving, std::back_inserter(starts),
-                         [&](const server_start &each) { return remembers(each); });
+                         [&](const server_start &each) { return isTracked(each); });
     return starts;
 }
 
@@ -92,99 +94,100 @@
     return std::chrono::ceil<milliseconds>(first - now);
 }
 
-// Servers that refuse are passed over like those that asked for time, as long as others are left:
-// who chooses for this node doesn't see its refusals.
+// Servers that refuse are skipped like servers in a backoff, as long as other servers are left: the
+// node that chooses on behalf of this one does not see the refusals.
 std::vector<backend_server_id> server_directory::passedOver(const service_id &service,
                                                             const residency &allowed) const
 {
     const auto now = m_clock.now();
-    std::vector<backend_server_id> asked;
+    std::vector<backend_server_id> excluded;
     std::vector<backend_server_id> refusing;
     const auto servers = usable(service, allowed);
     for (const auto &each : servers) {
         if (!each->takes(now))
-            asked.push_back(each->record.id);
+            excluded.push_back(each->record.id);
         else if (each->refusals > 0 && now < each->avoidUntil)
             refusing.push_back(each->record.id);
     }
-    if (asked.size() + refusing.size() < servers.size())
-        std::ranges::copy(refusing, std::back_inserter(asked));
-    return asked;
+    if (excluded.size() + refusing.size() < servers.size())
+        std::ranges::copy(refusing, std::back_inserter(excluded));
+    return excluded;
 }
 
-void server_directory::onRefused(server &which)
+void server_directory::onRefused(server &backend)
 {
     const auto now = m_clock.now();
-    if (which.refusals > 0 && now < which.avoidUntil)
-        return; // sent before the last refusal was known
-    auto time = RefusedAvoidance;
-    for (std::uint32_t i = 0; i < std::min(which.refusals, MaxRefusedSteps); ++i)
-        time *= RefusedGrowth;
-    ++which.refusals;
-    which.avoidUntil = std::max(which.avoidUntil, now + time);
+    if (backend.refusals > 0 && now < backend.avoidUntil)
+        return; // the request was sent before the last refusal was known
+    auto time = InitialRefusalAvoidance;
+    for (std::uint32_t i = 0; i < std::min(backend.refusals, MaxRefusalGrowthSteps); ++i)
+        time *= RefusalAvoidanceGrowth;
+    ++backend.refusals;
+    backend.avoidUntil = std::max(backend.avoidUntil, now + time);
 }
 
-void server_directory::onRetryAfter(server &which, milliseconds time)
+void server_directory::onRetryAfter(server &backend, milliseconds time)
 {
     const auto now = m_clock.now();
-    if (now + time <= which.backoffUntil)
+    if (now + time <= backend.backoffUntil)
         return;
     const std::chrono::duration<double> spread = time * (m_backoffSpread ? m_backoffSpread() : 0.0);
-    which.backoffUntil = now + time + std::chrono::ceil<milliseconds>(spread);
-    which.proving = true;
+    backend.backoffUntil = now + time + std::chrono::ceil<milliseconds>(spread);
+    backend.probing = true;
     if (m_onBackoff)
-        m_onBackoff(which, time);
+        m_onBackoff(backend, time);
 }
 
-void server_directory::onSending(server &which)
+void server_directory::onSending(server &backend)
 {
-    which.sentAt = m_clock.now();
-    if (which.proving)
-        which.probeUntil = m_clock.now() + ProbeTime;
+    backend.sentAt = m_clock.now();
+    if (backend.probing)
+        backend.probeUntil = m_clock.now() + ProbeTimeout;
     if (m_onSent)
-        m_onSent(which.record.dataCenter);
+        m_onSent(backend.record.dataCenter);
 }
 
-void server_directory::onSignals(server &which, const server_signals &told)
+void server_directory::onSignals(server &backend, const server_signals &reported)
 {
-    onRateLimit(which, told.rateLimit);
-    if (told.leaving && !std::exchange(which.saidLeaving, true)) {
-        m_saidLeaving.insert(which.record.start());
-        changed(which.record.service);
+    onRateLimit(backend, reported.rateLimit);
+    if (reported.leaving && !std::exchange(backend.saidLeaving, true)) {
+        m_saidLeaving.insert(backend.record.start());
+        notifyChange(backend.record.service);
         if (m_onLeavingSaid)
-            m_onLeavingSaid(which);
+            m_onLeavingSaid(backend);
     }
     const auto now = m_clock.now();
-    if (told.load) {
-        which.load = told.load;
-        which.loadAt = now;
+    if (reported.load) {
+        backend.load = reported.load;
+        backend.loadAt = now;
     }
-    if (told.retryAfter)
-        onRetryAfter(which, *told.retryAfter);
-    if (told.refused)
-        onRefused(which);
-    // An answer that was under way says nothing of a time that was asked for since.
-    if (told.taken) {
-        which.refusals = 0;
-        which.proving = which.proving && now < which.backoffUntil;
+    if (reported.retryAfter)
+        onRetryAfter(backend, *reported.retryAfter);
+    if (reported.refused)
+        onRefused(backend);
+    // A response that was already under way does not end a backoff that was requested since.
+    if (reported.taken) {
+        backend.refusals = 0;
+        backend.probing = backend.probing && now < backend.backoffUntil;
     }
 }
 
-void server_directory::onRateLimit(server &which, const told_rate_limit &told)
+void server_directory::onRateLimit(server &backend, const told_rate_limit &reported)
 {
-    onRateLimit(which, told, m_clock.now());
+    onRateLimit(backend, reported, m_clock.now());
 }
 
-void server_directory::onRateLimit(server &which, const told_rate_limit &told, steady_time heardAt)
+void server_directory::onRateLimit(server &backend, const told_rate_limit &reported,
+                                   steady_time receivedAt)
 {
-    if (!told.readable || heardAt < which.rateLimitAt)
+    if (!reported.readable || receivedAt < backend.rateLimitReportedAt)
         return;
-    which.rateLimitAt = heardAt;
-    if (told.perSecond == which.rateLimit)
+    backend.rateLimitReportedAt = receivedAt;
+    if (reported.perSecond == backend.rateLimit)
         return;
-    const auto before = std::exchange(which.rateLimit, told.perSecond);
+    const auto before = std::exchange(backend.rateLimit, reported.perSecond);
     if (m_onRateLimitChanged)
-        m_onRateLimitChanged(which, before);
+        m_onRateLimitChanged(backend, before);
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/server_signals.h
+++ b/src/gateway/servers/server_signals.h
@@ -7,7 +7,7 @@
 
 namespace orchidlead::gateway {
 
-/// A server's own account of its work.
+/// Load reported by a server.
 struct server_load
 {
     std::uint32_t running = 0;
@@ -15,25 +15,27 @@
     std::uint32_t slots = 0;
 };
 
-/// What an answer says of the rate that its server bears.
+/// The rate limit reported in a response.
 struct told_rate_limit
 {
-    std::optional<double> perSecond; ///< requests that it takes from all nodes together; empty: any
-    bool readable = true; ///< else the answer says nothing of it
+    std::optional<double>
+        perSecond; ///< requests per second from all nodes together; empty: not limited
+    bool readable = true; ///< false: the response has no valid report of the limit
 };
 
-/// What an answer says of the server that gave it, beside what it says to the request.
+/// What a response reports about its server, apart from the result of the request.
 struct server_signals
 {
     told_rate_limit rateLimit{};
-    bool leaving = false; ///< it ends soon, and takes nothing new
-    bool refused = false; ///< it hasn't run the request, for reasons of its own
-    bool taken = false; ///< it took up the request and hasn't failed it
-    std::optional<milliseconds> retryAfter{}; ///< it wants no request of this node for so long
+    bool leaving = false; ///< the server shuts down soon and takes no new requests
+    bool refused = false; ///< the server did not run the request, for a reason of its own
+    bool taken = false; ///< the server accepted the request and has not failed it
+    std::optional<milliseconds> retryAfter{}; ///< requested backoff: the server wants no request
+                                              ///< from this node for this time
     std::optional<server_load> load{};
 };
 
-/// Of an answer that says nothing of the server that was asked.
+/// Signals of a response that reports nothing about its server.
 inline constexpr server_signals NoSignals{{std::nullopt, false}, false,       false, false,
                                           std::nullopt,          std::nullopt};
 
--- a/tests/gateway/pool_widths_test.cpp
+++ b/tests/gateway/pool_widths_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("each data centre has its own pool where all of them have servers enough")
+TEST_CASE("each data centre has its own pool if all of them have enough servers")
 {
     fixture world;
     world.put("a", 0, 5);
@@ -49,7 +49,7 @@
     CHECK(world.poolIn("b") == "b");
 }
 
-TEST_CASE("one pool serves the fleet where a data centre has few servers")
+TEST_CASE("one pool serves all data centres if one of them has few servers")
 {
     fixture world;
     world.put("a", 0, 5);
@@ -58,14 +58,14 @@
     CHECK(world.poolIn("b").empty());
 }
 
-TEST_CASE("a single data centre needs no pool of its own")
+TEST_CASE("a single data centre gets no pool of its own")
 {
     fixture world;
     world.put("a", 0, 9);
     CHECK(world.poolIn("a").empty());
 }
 
-TEST_CASE("pools that are split stay so while one server comes and goes")
+TEST_CASE("split pools stay split while the number of servers varies by one")
 {
     fixture world;
     world.put("a", 0, 5);
@@ -81,7 +81,7 @@
     CHECK(world.poolIn("b") == "b");
 }
 
-TEST_CASE("a data centre without servers uses the widest pool of the others")
+TEST_CASE("a data centre without servers uses the largest pool of the others")
 {
     fixture world;
     world.put("a", 0, 3);
--- a/tests/gateway/rate_pace_test.cpp
+++ b/tests/gateway/rate_pace_test.cpp
@@ -23,7 +23,7 @@
         cold.coldUntil = clock.now() + std::chrono::seconds{60};
         cold.coldStart.rate = RatePerSecond;
     }
-    /// Sends whatever may go, for so long; gives how many went.
+    /// Sends requests for this time whenever the pacer allows it; returns how many were sent.
     int sendFor(milliseconds time, double share)
     {
         int sent = 0;
@@ -40,16 +40,16 @@
 
 } // namespace
 
-TEST_CASE("a cold server gets three quarters of what it bears from the node that has all of it")
+TEST_CASE("a cold server gets three quarters of its rate from a node with the whole share")
 {
-    // Each step may delay a request by itself, so a little less than 60.
+    // Each step may delay a request by itself, so slightly fewer than 60 are sent.
     fixture f;
     const int sent = f.sendFor(std::chrono::seconds{20}, 1.0);
     CHECK(sent <= 60);
     CHECK(sent >= 58);
 }
 
-TEST_CASE("a node with a part of it sends so much less, and one with none nothing")
+TEST_CASE("a node sends in proportion to its share, and nothing without a share")
 {
     fixture f;
     const int sent = f.sendFor(std::chrono::seconds{20}, 0.5);
@@ -58,7 +58,7 @@
     CHECK(f.sendFor(std::chrono::seconds{20}, 0.0) == 0);
 }
 
-TEST_CASE("what wasn't sent isn't made up for in a burst")
+TEST_CASE("a cold server gets no burst after an idle period")
 {
     fixture f;
     f.pace.onSent(f.cold, 1.0);
@@ -66,7 +66,7 @@
     CHECK(f.sendFor(std::chrono::seconds{1}, 1.0) <= 4);
 }
 
-TEST_CASE("a server that is warm, or whose service names no rate, isn't bounded")
+TEST_CASE("a server that is warm or whose service sets no cold rate is not limited")
 {
     fixture f;
     f.cold.coldUntil = f.clock.now();
@@ -76,7 +76,7 @@
     CHECK(f.pace.allows(f.cold, 0.0));
 }
 
-TEST_CASE("each cold server is paced for itself")
+TEST_CASE("each start of a cold server is paced separately")
 {
     fixture f;
     f.pace.onSent(f.cold, 1.0);
@@ -89,7 +89,7 @@
     CHECK(f.pace.allows(again, 1.0));
 }
 
-TEST_CASE("a limited server gets all that it takes, and what it saved up for a moment at once")
+TEST_CASE("a limited server gets its full rate, and a short burst after an idle period")
 {
     constexpr double Limit = 20.0;
     fixture f;
@@ -99,14 +99,13 @@
     CHECK(first >= 200);
     CHECK(first <= 204);
     f.clock.advance(std::chrono::seconds{5});
-    int atOnce = 0;
-    for (; f.pace.allows(f.cold, 1.0); ++atOnce)
+    int burst = 0;
+    for (; f.pace.allows(f.cold, 1.0); ++burst)
         f.pace.onSent(f.cold, 1.0);
-    CHECK(atOnce == 4);
+    CHECK(burst == 4);
 }
 
-TEST_CASE(
-    "a server that takes nothing is asked once in four seconds, or nothing would tell its end")
+TEST_CASE("a server with a limit of zero gets one request every four seconds")
 {
     fixture f;
     f.cold.coldUntil = f.clock.now();
@@ -114,7 +113,7 @@
     CHECK(f.sendFor(std::chrono::seconds{40}, 1.0) == 10);
 }
 
-TEST_CASE("the lower one of two bounds counts")
+TEST_CASE("the lower of two limits applies")
 {
     fixture f;
     f.cold.rateLimit = 1.0;
@@ -123,7 +122,7 @@
     CHECK(f.sendFor(std::chrono::seconds{20}, 1.0) <= 61);
 }
 
-TEST_CASE("requests that are sent in their turn go one behind the other")
+TEST_CASE("scheduled requests are spaced at the rate of the limit")
 {
     fixture f;
     f.cold.coldUntil = f.clock.now();
--- a/tests/gateway/rate_share_test.cpp
+++ b/tests/gateway/rate_share_test.cpp
@@ -11,24 +11,25 @@
 #include <string>
 #include <vector>
 
-/// How many requests servers get that bear only so many, cold or with a limit of their own, when
-/// nodes share that without a word to each other, while nodes start, are killed, and are cut from
-/// each other: every node sends whenever it may.
+/// Requests that rate-limited servers get (cold ones, or ones with a limit of their own) when nodes
+/// divide the limits among themselves without exchanging messages about it. Nodes start, are killed
+/// and are partitioned from each other, and each node sends whenever its share allows it.
 using namespace orchidlead;
 using namespace orchidlead::gateway;
 
 namespace {
 
-enum class way {
-    EachNode, ///< each node has an equal part
-    Host, ///< the host of the server's pool
+enum class sharing {
+    EachNode, ///< each node has an equal share
+    Host, ///< the host of the server's pool has the whole share
 };
 
-/// What servers bear, and what the platform allows to reach one within a span of time.
-struct bounded_load
+/// The rate that servers can handle, and the number of requests that the platform allows to reach
+/// one server within a time window.
+struct server_capacity
 {
     double rate = 1.0;
-    bool limited = false; ///< by the server's own word; else it is cold
+    bool limited = false; ///< by an announced rate limit; else the server is cold
     [[nodiscard]] std::chrono::seconds window() const
     {
         return std::chrono::seconds{limited ? 4 : 1};
@@ -48,34 +49,36 @@
 
 struct outcome
 {
-    std::size_t most = 0; ///< that reached a server within any second
-    double part = 0.0; ///< of what all servers could bear, that they got in the calm part
+    std::size_t maxInWindow = 0; ///< requests that reached one server within any window
+    double utilization = 0.0; ///< of all servers in the steady phase
 };
 
 constexpr milliseconds Step{50};
-// Nodes look at their part of what a server bears so often: looking costs more than sending here.
-constexpr milliseconds LookEach{250};
-constexpr milliseconds CalmFrom{4000};
-constexpr milliseconds CutAt{10'000};
+// Interval at which nodes update their shares: in this simulation an update costs more than
+// sending.
+constexpr milliseconds ShareRefreshInterval{250};
+constexpr milliseconds SteadyFrom{4000};
+constexpr milliseconds PartitionAt{10'000};
 constexpr milliseconds HealAt{14'000};
 constexpr milliseconds KillAt{17'000};
 constexpr milliseconds StartAt{18'500};
 constexpr milliseconds End{25'000};
-// Requests are on their way for so long at most: nodes are busy, and connections are opened.
-constexpr milliseconds LongestWay{150};
+// Longest time that a request takes to arrive: nodes are busy, and connections have to be opened.
+constexpr milliseconds MaxNetworkDelay{150};
 
-class emulation
+class fleet_simulation
 {
 public:
-    emulation(const fleet_shape &shape, const bounded_load &load, way how, std::uint32_t seed)
+    fleet_simulation(const fleet_shape &shape, const server_capacity &capacity, sharing sharingMode,
+                     std::uint32_t seed)
         : m_shape(shape)
-        , m_load(load)
-        , m_how(how)
+        , m_capacity(capacity)
+        , m_sharingMode(sharingMode)
         , m_random(seed)
         , m_fleet(shape.nodes, shape.dataCenters, seed)
         , m_shares(shape.nodes, std::vector<double>(shape.servers, 0.0))
         , m_paces(shape.nodes)
-        , m_paceOf(shape.nodes, 0)
+        , m_paceStarts(shape.nodes, 0)
         , m_arrivals(shape.servers)
     {
         for (std::size_t i = 0; i < shape.servers; ++i) {
@@ -83,10 +86,10 @@
             each.record.id = backend_server_id("i-" + std::to_string(i));
             each.record.service = service_id("s");
             each.record.dataCenter = data_center_id("dc-" + std::to_string(i % shape.dataCenters));
-            if (load.limited) {
-                each.rateLimit = load.rate;
+            if (capacity.limited) {
+                each.rateLimit = capacity.rate;
             } else {
-                each.coldStart.rate = load.rate;
+                each.coldStart.rate = capacity.rate;
                 each.coldUntil = m_fleet.clock().now() + 2 * End;
             }
             m_servers.push_back(std::move(each));
@@ -97,7 +100,7 @@
     {
         m_fleet.startAll(milliseconds{300});
         for (milliseconds at{0}; at < End; at += Step) {
-            if (at == CutAt)
+            if (at == PartitionAt)
                 m_fleet.cut([this](std::size_t from, std::size_t to) {
                     return m_fleet.dataCenterOf(from) == m_fleet.dataCenterOf(to);
                 });
@@ -108,8 +111,8 @@
             if (at == StartAt)
                 m_fleet.start(m_killed, milliseconds{1000});
             m_fleet.run(Step);
-            if (at % LookEach == milliseconds{0})
-                lookAtShares();
+            if (at % ShareRefreshInterval == milliseconds{0})
+                refreshShares();
             sendAll();
         }
         return summary();
@@ -127,11 +130,11 @@
     {
         auto &view = m_fleet.view(node);
         const auto &record = which.record;
-        if (m_how == way::EachNode)
+        if (m_sharingMode == sharing::EachNode)
             return 1.0 / static_cast<double>(view.nodes());
         return view.rateShare({record.service, record.dataCenter});
     }
-    void lookAtShares()
+    void refreshShares()
     {
         for (std::size_t node = 0; node < m_shape.nodes; ++node) {
             for (std::size_t i = 0; i < m_servers.size(); ++i)
@@ -145,7 +148,7 @@
                 continue;
             auto &pace = m_paces[node];
             if (!pace
-                || std::exchange(m_paceOf[node], m_fleet.starts(node)) != m_fleet.starts(node))
+                || std::exchange(m_paceStarts[node], m_fleet.starts(node)) != m_fleet.starts(node))
                 pace = std::make_unique<rate_pace>(m_fleet.clock());
             for (std::size_t i = 0; i < m_servers.size(); ++i)
                 send(node, i);
@@ -156,95 +159,97 @@
         if (!m_paces[node]->allows(m_servers[index], m_shares[node][index]))
             return;
         m_paces[node]->onSent(m_servers[index], m_shares[node][index]);
-        std::uniform_int_distribution<std::int64_t> onWay(1, LongestWay.count());
-        m_arrivals[index].push_back(m_fleet.clock().now() + milliseconds{onWay(m_random)});
+        std::uniform_int_distribution<std::int64_t> networkDelay(1, MaxNetworkDelay.count());
+        m_arrivals[index].push_back(m_fleet.clock().now() + milliseconds{networkDelay(m_random)});
     }
     outcome summary()
     {
         outcome found;
-        std::size_t calm = 0;
+        std::size_t steadyCount = 0;
         const auto begin = m_fleet.clock().now() - End;
         for (auto &each : m_arrivals) {
             std::ranges::sort(each);
             std::size_t first = 0;
             for (std::size_t last = 0; last < each.size(); ++last) {
-                while (each[last] - each[first] >= m_load.window())
+                while (each[last] - each[first] >= m_capacity.window())
                     ++first;
-                found.most = std::max(found.most, last - first + 1);
+                found.maxInWindow = std::max(found.maxInWindow, last - first + 1);
             }
-            calm += static_cast<std::size_t>(std::ranges::count_if(each, [&](steady_time at) {
-                return at >= begin + CalmFrom && at < begin + CutAt;
-            }));
+            steadyCount +=
+                static_cast<std::size_t>(std::ranges::count_if(each, [&](steady_time at) {
+                    return at >= begin + SteadyFrom && at < begin + PartitionAt;
+                }));
         }
-        const std::chrono::duration<double> span = CutAt - CalmFrom;
-        found.part = static_cast<double>(calm)
-            / (m_load.rate * span.count() * static_cast<double>(m_shape.servers));
+        const std::chrono::duration<double> span = PartitionAt - SteadyFrom;
+        found.utilization = static_cast<double>(steadyCount)
+            / (m_capacity.rate * span.count() * static_cast<double>(m_shape.servers));
         return found;
     }
 
     fleet_shape m_shape;
-    bounded_load m_load;
-    way m_how;
+    server_capacity m_capacity;
+    sharing m_sharingMode;
     std::mt19937 m_random;
     peer_fleet m_fleet;
     std::vector<server> m_servers;
     std::vector<std::vector<double>> m_shares; ///< by node and server
     std::vector<std::unique_ptr<rate_pace>> m_paces;
-    std::vector<std::uint64_t> m_paceOf; ///< the start of its node
+    std::vector<std::uint64_t> m_paceStarts; ///< by node: the start that its pacer is for
     std::vector<std::vector<steady_time>> m_arrivals; ///< by server
     std::vector<std::size_t> m_killed;
 };
 
-constexpr bounded_load FewWhileCold{1.0};
-constexpr bounded_load ManyWhileCold{6.7};
-constexpr bounded_load LowLimit{1.0, true};
-constexpr bounded_load HighLimit{25.0, true};
+constexpr server_capacity LowColdRate{1.0};
+constexpr server_capacity HighColdRate{6.7};
+constexpr server_capacity LowLimit{1.0, true};
+constexpr server_capacity HighLimit{25.0, true};
 constexpr std::uint32_t Seed = 11;
 
 } // namespace
 
-TEMPLATE_TEST_CASE_SIG("servers get no more than they bear, whatever becomes of the nodes", "",
-                       ((std::size_t Nodes, std::size_t Servers, std::size_t Load), Nodes, Servers,
-                        Load),
-                       (4, 1, 0), (4, 1, 1), (4, 1, 2), (4, 1, 3), (4, 12, 0), (4, 12, 1),
-                       (4, 12, 2), (4, 12, 3), (86, 3, 0), (86, 3, 1), (86, 3, 2), (86, 3, 3))
+TEMPLATE_TEST_CASE_SIG(
+    "servers get no more than their limit while nodes start, fail and are partitioned", "",
+    ((std::size_t Nodes, std::size_t Servers, std::size_t Load), Nodes, Servers, Load), (4, 1, 0),
+    (4, 1, 1), (4, 1, 2), (4, 1, 3), (4, 12, 0), (4, 12, 1), (4, 12, 2), (4, 12, 3), (86, 3, 0),
+    (86, 3, 1), (86, 3, 2), (86, 3, 3))
 {
-    const auto load = std::array{FewWhileCold, ManyWhileCold, LowLimit, HighLimit}[Load];
-    const auto found = emulation({Nodes, 4, Servers}, load, way::Host, Seed).run();
-    INFO("rate " << load.rate << (load.limited ? ", limited" : ", cold"));
-    CHECK(static_cast<double>(found.most) <= load.bound());
+    const auto capacity = std::array{LowColdRate, HighColdRate, LowLimit, HighLimit}[Load];
+    const auto found = fleet_simulation({Nodes, 4, Servers}, capacity, sharing::Host, Seed).run();
+    INFO("rate " << capacity.rate << (capacity.limited ? ", limited" : ", cold"));
+    CHECK(static_cast<double>(found.maxInWindow) <= capacity.bound());
 }
 
-TEST_CASE("cold servers get two thirds of what they bear while nothing disturbs the nodes")
+TEST_CASE("cold servers get two thirds of their rate in the steady phase")
 {
-    const auto found = emulation({86, 4, 3}, ManyWhileCold, way::Host, Seed).run();
-    CHECK(found.part >= 0.66);
+    const auto found = fleet_simulation({86, 4, 3}, HighColdRate, sharing::Host, Seed).run();
+    CHECK(found.utilization >= 0.66);
 }
 
-TEST_CASE("limited servers get what they take while nothing disturbs the nodes")
+TEST_CASE("limited servers get nearly all of their limit in the steady phase")
 {
-    const auto found = emulation({86, 4, 3}, LowLimit, way::Host, Seed).run();
-    CHECK(found.part >= 0.95);
+    const auto found = fleet_simulation({86, 4, 3}, LowLimit, sharing::Host, Seed).run();
+    CHECK(found.utilization >= 0.95);
 }
 
-TEST_CASE("the figures of the ways to share what servers bear", "[.figures]")
+TEST_CASE("figures of the modes of sharing rate limits", "[.figures]")
 {
     for (const auto &shape : {fleet_shape{4, 2, 1}, fleet_shape{4, 2, 140}, fleet_shape{86, 4, 1},
                               fleet_shape{86, 4, 36}, fleet_shape{86, 4, 140},
                               fleet_shape{350, 7, 1}, fleet_shape{350, 7, 140}}) {
-        for (const auto &load : {FewWhileCold, ManyWhileCold, LowLimit, HighLimit}) {
-            for (const auto how : {way::EachNode, way::Host}) {
+        for (const auto &capacity : {LowColdRate, HighColdRate, LowLimit, HighLimit}) {
+            for (const auto sharingMode : {sharing::EachNode, sharing::Host}) {
                 outcome worst;
-                worst.part = 1.0;
+                worst.utilization = 1.0;
                 for (const std::uint32_t seed : {11U, 12U, 13U}) {
-                    const auto found = emulation(shape, load, how, seed).run();
-                    worst.most = std::max(worst.most, found.most);
-                    worst.part = std::min(worst.part, found.part);
+                    const auto found = fleet_simulation(shape, capacity, sharingMode, seed).run();
+                    worst.maxInWindow = std::max(worst.maxInWindow, found.maxInWindow);
+                    worst.utilization = std::min(worst.utilization, found.utilization);
                 }
                 std::cout << shape.nodes << " nodes, " << shape.servers << " servers, rate "
-                          << load.rate << (load.limited ? " limited" : " cold") << ", way "
-                          << static_cast<int>(how) << ": most " << worst.most << " of "
-                          << load.bound() << ", part " << worst.part << std::endl;
+                          << capacity.rate << (capacity.limited ? " limited" : " cold")
+                          << ", sharing mode " << static_cast<int>(sharingMode)
+                          << ": max in window " << worst.maxInWindow << " of " << capacity.bound()
+                          << ", utilization " << worst.utilization << std::endl;
             }
         }
     }
--- a/tests/gateway/residency_test.cpp
+++ b/tests/gateway/residency_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("work of which nothing is said may be done anywhere")
+TEST_CASE("requests without a restriction may be processed in any region")
 {
     const auto any = residencyOf({}, {});
     CHECK_FALSE(any.bound());
@@ -20,7 +20,7 @@
     CHECK(any.allows(region_id{}));
 }
 
-TEST_CASE("a list of regions binds, whoever gives it")
+TEST_CASE("a region list of a route or of a customer restricts requests")
 {
     for (const auto &bound : {residencyOf({North}, {}), residencyOf({}, {North})}) {
         CHECK(bound.bound());
@@ -30,7 +30,7 @@
     }
 }
 
-TEST_CASE("lists of a route and of a customer bind both")
+TEST_CASE("region lists of a route and of a customer both apply")
 {
     const auto both = residencyOf({North, South}, {South});
     CHECK(both.allows(South));
--- a/tests/gateway/second_try_test.cpp
+++ b/tests/gateway/second_try_test.cpp
@@ -1,4 +1,5 @@
-// Choices of several nodes while servers end: no network, seeded by the names of nodes and servers.
+// Choices of several nodes while servers end. There is no network; the names of nodes and servers
+// serve as the seed.
 #include "gateway/exchange/exchange_limits.h"
 #include "gateway/servers/server_directory.h"
 
@@ -17,14 +18,16 @@
 
 constexpr std::size_t Nodes = 4;
 constexpr std::size_t Servers = 10;
-/// When a server that ended is back, under another id; until then it is still published.
+/// Time after which a server that ended is replaced under a new id. Until then it is still
+/// published.
 constexpr milliseconds Downtime{1000};
 
-/// Nodes before servers of one service, which are all idle and refuse connections once they ended.
-class choosing_nodes
+/// Nodes that send to the servers of one service. All servers are idle, and refuse connections once
+/// they have ended.
+class node_group
 {
 public:
-    choosing_nodes()
+    node_group()
     {
         for (std::size_t i = 1; i <= Nodes; ++i) {
             m_nodes.push_back(std::make_unique<server_directory>(m_clock));
@@ -40,10 +43,10 @@
         m_removals.push_back({id, m_clock.now() + Downtime});
     }
 
-    /// Has one node after the other send a request.
-    void request(milliseconds every)
+    /// Sends a request from the next node in turn.
+    void request(milliseconds interval)
     {
-        m_clock.advance(every);
+        m_clock.advance(interval);
         removeEnded();
         auto &node = *m_nodes[m_requests++ % Nodes];
         server_wish wish;
@@ -104,27 +107,28 @@
 
 } // namespace
 
-// The pattern: servers of an idle service end one after the other, and the list names them for a
-// while. Guards against second tries that prefer servers of which this node has heard nothing.
+// Pattern: the servers of an idle service end one after the other, and the published list still
+// contains them for a while. Guards against retries that prefer servers from which this node has
+// had no response.
 TEST_CASE("no request is refused while eight of ten servers end one after the other")
 {
-    const auto every = milliseconds{GENERATE(2, 5, 10, 15, 20, 40)};
-    choosing_nodes nodes;
+    const auto interval = milliseconds{GENERATE(2, 5, 10, 15, 20, 40)};
+    node_group nodes;
     for (int i = 0; i < 40; ++i)
-        nodes.request(every);
+        nodes.request(interval);
     for (int i = 1; i <= 8; ++i) {
         nodes.end("s-" + std::to_string(i));
         for (int j = 0; j < 15; ++j)
-            nodes.request(every);
+            nodes.request(interval);
     }
     for (int i = 0; i < 80; ++i)
-        nodes.request(every);
-    INFO("a request each " << every.count() << " ms");
+        nodes.request(interval);
+    INFO("one request every " << interval.count() << " ms");
     CHECK(nodes.served() == nodes.requests());
 }
 
-// The pattern: a service with work to do, where servers that ended look idle.
-TEST_CASE("a second try goes to a busy server that answers rather than to an idle silent one")
+// Pattern: a busy service in which servers that ended look idle.
+TEST_CASE("a retry prefers a busy server with a recent response to an idle one without")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -142,12 +146,12 @@
     busy->outstanding = 3;
     wish.exclude = {backend_server_id("ended")};
     CHECK(directory.choose(wish)->record.id.value == "busy");
-    SECTION("unless it is full")
+    SECTION("the busy server is full")
     {
         busy->outstanding = 5;
         CHECK(directory.choose(wish)->record.id.value == "silent");
     }
-    SECTION("unless its answer is old")
+    SECTION("the response of the busy server is old")
     {
         clock.advance(milliseconds{5000});
         CHECK(directory.choose(wish)->record.id.value == "silent");
--- a/tests/gateway/server_directory_test.cpp
+++ b/tests/gateway/server_directory_test.cpp
@@ -35,7 +35,8 @@
 
 } // namespace
 
-TEST_CASE("the server with the least work is chosen, the near one between equals")
+TEST_CASE(
+    "the server with the lowest load is chosen, at equal load one in the preferred data centre")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -46,9 +47,9 @@
     CHECK(directory.choose(wishFor())->record.id.value == "s1");
 }
 
-// The pattern: far more nodes than servers, a request of each in a few seconds, all servers idle.
-// Guards against nodes that all take the same one of equal servers.
-TEST_CASE("servers that cost the same all get requests, and each node keeps to two of them")
+// Pattern: far more nodes than servers, a request from each node every few seconds, and idle
+// servers. Guards against all nodes choosing the same one of several equal servers.
+TEST_CASE("all servers of equal cost get requests, and each node uses two of them")
 {
     constexpr std::size_t Nodes = 96;
     constexpr std::size_t Servers = 21;
@@ -80,7 +81,7 @@
     CHECK(busiest <= 2 * mean);
 }
 
-TEST_CASE("a server that is leaving or gone gets no new work")
+TEST_CASE("a server that is leaving or no longer published gets no new work")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -94,7 +95,7 @@
     CHECK(directory.choose(wishFor()) == nullptr);
 }
 
-TEST_CASE("a server that fails twice in a row is passed over until its time is over")
+TEST_CASE("a server with two consecutive failures is avoided for a while")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -109,7 +110,7 @@
     CHECK(directory.choose(wishFor()) == failing);
 }
 
-TEST_CASE("where all servers are avoided, one is chosen all the same")
+TEST_CASE("an avoided server is chosen if all are avoided")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -120,7 +121,7 @@
     CHECK(directory.choose(wishFor()) == only);
 }
 
-TEST_CASE("a load that was told counts while it is young")
+TEST_CASE("a load report is used only while it is recent")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -132,7 +133,7 @@
     CHECK(directory.choose(wishFor())->record.id.value == "s1");
 }
 
-TEST_CASE("servers that were tried aren't chosen again")
+TEST_CASE("servers already tried are not chosen again")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -142,7 +143,7 @@
     CHECK(directory.choose(wish) == nullptr);
 }
 
-TEST_CASE("an address that is used again leads to its new server")
+TEST_CASE("a reused address is resolved to its new server")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -157,34 +158,33 @@
     CHECK(old->gone);
 }
 
-TEST_CASE("doubt in a server is told once when it begins and once when it ends")
+TEST_CASE("the start and the end of avoiding a server are each reported once")
 {
     manual_clock clock;
     server_directory directory(clock);
     directory.put(makeRecord("s1"));
-    std::vector<bool> told;
-    directory.onDoubt([&](const server &, bool avoided) { told.push_back(avoided); });
+    std::vector<bool> reported;
+    directory.onDoubt([&](const server &, bool avoided) { reported.push_back(avoided); });
     auto &only = *directory.find(backend_server_id("s1"));
     directory.onFailure(only);
-    CHECK(told.empty());
+    CHECK(reported.empty());
     directory.onFailure(only);
     directory.onFailure(only);
-    CHECK(told == std::vector<bool>{true});
+    CHECK(reported == std::vector<bool>{true});
     directory.onAnswer(only);
     directory.onAnswer(only);
-    CHECK(told == std::vector<bool>{true, false});
+    CHECK(reported == std::vector<bool>{true, false});
 }
 
-TEST_CASE(
-    "a limit that a server names holds until an answer says otherwise, and each change is told")
+TEST_CASE("a rate limit holds until a response changes it, and each change is reported")
 {
     manual_clock clock;
     server_directory directory(clock);
     directory.put(makeRecord("s1"));
-    std::vector<std::optional<double>> told;
-    directory.onRateLimitChanged([&](const server &which, std::optional<double> before) {
-        told.push_back(before);
-        told.push_back(which.rateLimit);
+    std::vector<std::optional<double>> reported;
+    directory.onRateLimitChanged([&](const server &backend, std::optional<double> before) {
+        reported.push_back(before);
+        reported.push_back(backend.rateLimit);
     });
     auto &server = *directory.find(backend_server_id("s1"));
     directory.onRateLimit(server, {});
@@ -194,17 +194,17 @@
     CHECK(server.rateLimit == 2.5);
     directory.onRateLimit(server, {});
     CHECK_FALSE(server.rateLimit);
-    CHECK(told == std::vector<std::optional<double>>{std::nullopt, 2.5, 2.5, std::nullopt});
+    CHECK(reported == std::vector<std::optional<double>>{std::nullopt, 2.5, 2.5, std::nullopt});
 }
 
-TEST_CASE("a limit is written as a number, and none as such")
+TEST_CASE("a rate limit is formatted as a number, and a missing one as none")
 {
     CHECK(rateLimitText(2.5) == "2.5");
     CHECK(rateLimitText(1.0) == "1");
     CHECK(rateLimitText(std::nullopt) == "none");
 }
 
-TEST_CASE("one node alone doesn't choose a bounded server, nor believe older news of limits")
+TEST_CASE("a rate-limited server is never chosen locally, and outdated limit reports are ignored")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -223,7 +223,7 @@
     CHECK_FALSE(directory.allBounded(service_id("other"), {}));
 }
 
-TEST_CASE("server_directory: nothing that was believed of an earlier start holds for a later one")
+TEST_CASE("server_directory: a later start of a server gets fresh state")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -245,14 +245,14 @@
     CHECK(later->outstanding == 0);
     CHECK(later->failures == 0);
     CHECK(later->slowness == 1.0);
-    SECTION("and a record of the earlier one that comes late is ignored")
+    SECTION("a late record of the earlier start is ignored")
     {
         record.born = 1'000;
         record.leaving = true;
         directory.put(record);
         CHECK(directory.choose(wishFor()) == later);
     }
-    SECTION("and one that doesn't tell its start is the same server's")
+    SECTION("a record without a start time updates the known start")
     {
         record.born.reset();
         record.leaving = true;
@@ -290,7 +290,7 @@
 
 } // namespace
 
-TEST_CASE("what a server said holds for its start, also where its entry lapses meanwhile")
+TEST_CASE("a leaving announcement holds for one start, even if its entry expires in between")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -308,38 +308,38 @@
     CHECK(directory.find(record.id)->usable());
 }
 
-TEST_CASE("a start that another node heard to leave leaves once it is published")
+TEST_CASE("a start that another node reported as leaving is leaving once it is published")
 {
     manual_clock clock;
     server_directory directory(clock);
     auto record = makeRecord("s1");
     record.born = 1000;
-    CHECK(directory.onLeavingElsewhere(record.start()));
-    CHECK_FALSE(directory.onLeavingElsewhere(record.start()));
+    CHECK(directory.onPeerReportedLeaving(record.start()));
+    CHECK_FALSE(directory.onPeerReportedLeaving(record.start()));
     directory.put(record);
     CHECK_FALSE(directory.find(record.id)->usable());
-    CHECK(directory.startsThatLeave() == std::vector{record.start()});
+    CHECK(directory.leavingStarts() == std::vector{record.start()});
     directory.remove(record.id);
-    CHECK_FALSE(directory.onLeavingElsewhere(record.start()));
+    CHECK_FALSE(directory.onPeerReportedLeaving(record.start()));
     directory.put(record);
-    // An earlier start than the one that is known.
-    CHECK_FALSE(directory.onLeavingElsewhere({record.id, 900}));
+    // A start earlier than the known one.
+    CHECK_FALSE(directory.onPeerReportedLeaving({record.id, 900}));
     CHECK(directory.absenceOf(service_id("s"), residency{}) == server_absence::Leaving);
 }
 
-TEST_CASE("a start that lapsed before another node heard that it leaves leaves, too")
+TEST_CASE("an expired start that another node reports as leaving is leaving when published again")
 {
     manual_clock clock;
     server_directory directory(clock);
     const auto record = makeRecord("s1");
     directory.put(record);
     directory.remove(record.id);
-    CHECK(directory.onLeavingElsewhere(record.start()));
+    CHECK(directory.onPeerReportedLeaving(record.start()));
     directory.put(record);
     CHECK_FALSE(directory.find(record.id)->usable());
 }
 
-TEST_CASE("a start that leaves is told to others until it is gone and forgotten")
+TEST_CASE("a leaving start is listed until it is removed and its retention time has passed")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -347,18 +347,18 @@
     const auto other = makeRecord("s2");
     directory.put(record);
     directory.put(other);
-    CHECK(directory.startsThatLeave().empty());
+    CHECK(directory.leavingStarts().empty());
     directory.onSignals(*directory.find(record.id), leaving());
-    CHECK(directory.startsThatLeave() == std::vector{record.start()});
+    CHECK(directory.leavingStarts() == std::vector{record.start()});
     directory.remove(record.id);
-    CHECK(directory.startsThatLeave() == std::vector{record.start()});
+    CHECK(directory.leavingStarts() == std::vector{record.start()});
     clock.advance(std::chrono::seconds{61});
-    CHECK(directory.startsThatLeave().empty());
+    CHECK(directory.leavingStarts().empty());
     directory.remove(other.id);
-    CHECK(directory.startsThatLeave().empty());
+    CHECK(directory.leavingStarts().empty());
 }
 
-TEST_CASE("a server that asked for time gets nothing until it is over, fractions included")
+TEST_CASE("a server gets no request during its requested backoff, to the millisecond")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -366,7 +366,7 @@
     const auto only = directory.find(backend_server_id("s1"));
     directory.onSignals(*only, refusal(milliseconds{1700}));
     CHECK(directory.backoffOf(service_id("s"), {}) == milliseconds{1700});
-    // An answer that was under way doesn't end it, and a shorter time doesn't either.
+    // Neither a response that was already under way nor a shorter backoff ends the present one.
     directory.onSignals(*only, taken());
     directory.onSignals(*only, refusal(milliseconds{100}));
     clock.advance(milliseconds{1699});
@@ -377,7 +377,7 @@
     CHECK_FALSE(directory.backoffOf(service_id("s"), {}));
 }
 
-TEST_CASE("the ends of times that servers ask for are spread")
+TEST_CASE("requested backoffs are extended by the configured spread")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -387,7 +387,7 @@
     CHECK(directory.backoffOf(service_id("s"), {}) == milliseconds{2500});
 }
 
-TEST_CASE("after the time that a server asked for one request goes there alone until it is taken")
+TEST_CASE("after a backoff a server gets one request at a time until it accepts one")
 {
     manual_clock clock;
     server_directory directory(clock);
@@ -398,21 +398,21 @@
     REQUIRE(only->takes(clock.now()));
     directory.onSending(*only);
     CHECK_FALSE(only->takes(clock.now()));
-    SECTION("it is taken")
+    SECTION("the request is accepted")
     {
         directory.onSignals(*only, taken());
         CHECK(only->takes(clock.now()));
         directory.onSending(*only);
         CHECK(only->takes(clock.now()));
     }
-    SECTION("nothing comes back")
+    SECTION("no response arrives")
     {
         clock.advance(milliseconds{500});
         CHECK(only->takes(clock.now()));
     }
 }
 
-TEST_CASE("a server that refuses again and again is passed over for longer, until it takes one")
+TEST_CASE("consecutive refusals make the avoidance longer until a request is accepted")
 {
     manual_clock clock;
     server_directory directory(clock);
--- a/tests/platform/backoff_test.cpp
+++ b/tests/platform/backoff_test.cpp
@@ -1,11 +1,9 @@
-// What was seen: a model engine refused a request and asked the node for three seconds. Seven more
-// requests of that node reached it in that time; two are the bound.
-// How it came about: five of 18 engines refused at once. They had no streams, so the node that
-// places requests found them the cheapest, and each request tried two of them within milliseconds.
-// What caused it: nodes read no time in refusals, and a refusal kept a server back for 60 ms
-// whatever it said, at the node that got it alone.
-// What proved it: a line for each time that a node is asked for. Nodes logged it with the first
-// refusal in these tests, and the requests went there as before.
+// Guards against requests to a server that has refused a request of the node and requested a
+// backoff. Within a backoff of three seconds, seven more requests of the node reached a model
+// engine; at most two are allowed. Five of 18 engines refused at once. They had no streams, so the
+// node that places requests rated them as the cheapest, and each request tried two of them within
+// milliseconds. Nodes did not read the backoff in refusals: a refusal kept requests from a server
+// for only 60 ms, and only at the node that got the refusal.
 #include "loaded_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -22,11 +20,12 @@
 
 namespace {
 
-/// From so long after a server has asked a node for time, only so many of its requests may arrive.
-constexpr milliseconds Notice{500};
-constexpr std::size_t MostUnderWay = 2;
+/// From this time after a server requested a backoff, at most `MaxInFlight` requests of the node
+/// may arrive.
+constexpr milliseconds NoticeTime{500};
+constexpr std::size_t MaxInFlight = 2;
 
-/// A loaded fleet some of whose servers refuse and ask for time.
+/// A loaded fleet in which some servers refuse requests and request a backoff.
 struct backoff_world : loaded_fleet
 {
     explicit backoff_world(const std::string &routes, const std::string &services = {})
@@ -36,55 +35,55 @@
             if (!refusing.contains(id))
                 return std::string();
             const auto &last = arrivals.at(id).back();
-            told[id].push_back({last.node, clock.now()});
+            announcements[id].push_back({last.node, clock.now()});
             return "Retry-After: " + seconds + "\r\n";
         };
     }
 
-    struct told_time
+    struct backoff_announcement
     {
         std::string node;
         steady_time at;
     };
 
-    [[nodiscard]] milliseconds askedTime() const
+    [[nodiscard]] milliseconds backoffTime() const
     {
         return std::chrono::duration_cast<milliseconds>(
             std::chrono::duration<double>(std::stod(seconds)));
     }
-    /// The most requests of one node that a server got between the notice and the end of a time
-    /// that it had asked that node for.
-    [[nodiscard]] std::size_t mostWithin(const std::string &id) const
+    /// Returns the largest number of requests of one node that a server got between `NoticeTime`
+    /// after a backoff request to this node and the end of that backoff.
+    [[nodiscard]] std::size_t maxDuringBackoff(const std::string &id) const
     {
         std::size_t most = 0;
-        for (const auto &each : told.at(id)) {
+        for (const auto &each : announcements.at(id)) {
             const auto in = std::ranges::count_if(arrivals.at(id), [&](const arrival &arrived) {
-                return arrived.node == each.node && arrived.at >= each.at + Notice
-                    && arrived.at < each.at + askedTime();
+                return arrived.node == each.node && arrived.at >= each.at + NoticeTime
+                    && arrived.at < each.at + backoffTime();
             });
             most = std::max(most, static_cast<std::size_t>(in));
         }
         return most;
     }
-    void checkLeftAlone(const std::string &id) const
+    void checkBackoffRespected(const std::string &id) const
     {
         INFO("server " << id << " asks for " << seconds << " s");
-        REQUIRE(told.contains(id));
-        CHECK(mostWithin(id) <= MostUnderWay);
+        REQUIRE(announcements.contains(id));
+        CHECK(maxDuringBackoff(id) <= MaxInFlight);
     }
 
     std::string seconds = "2";
-    std::map<std::string, std::vector<told_time>> told; ///< by server
+    std::map<std::string, std::vector<backoff_announcement>> announcements; ///< by server
 };
 
 constexpr milliseconds LoadTime{3500};
-/// How long the end of a time may be put off: a quarter of it.
-constexpr double MostSpread = 1.25;
+/// Nodes extend a backoff by at most a quarter of its length.
+constexpr double MaxBackoffFactor = 1.25;
 
 } // namespace
 
-// Guards against requests for a server in the time that it asked the node for.
-TEST_CASE("a server that refuses and asks a node for time is left alone by it")
+// Guards against requests to a server during the backoff that it requested from the node.
+TEST_CASE("a server that requests a backoff from a node gets no request from it meanwhile")
 {
     SECTION("an engine")
     {
@@ -94,11 +93,11 @@
         w.startNodes();
         w.refusing = {"e-1"};
         w.load("/s/x", LoadTime);
-        w.checkLeftAlone("e-1");
+        w.checkBackoffRespected("e-1");
         CHECK(w.answeredWith(200) == w.requests.size());
         CHECK(w.logged.str().find("event=server_asked_for_time") != std::string::npos);
     }
-    SECTION("a plain server, and a time with a fraction")
+    SECTION("a plain server, with a fraction of a second")
     {
         backoff_world w(plainRoute("unsafe"));
         for (const auto *id : {"i-1", "i-2", "i-3"})
@@ -107,7 +106,7 @@
         w.seconds = "1.7";
         w.refusing = {"i-1"};
         w.load("/p/x", LoadTime);
-        w.checkLeftAlone("i-1");
+        w.checkBackoffRespected("i-1");
         CHECK(w.answeredWith(200) == w.requests.size());
     }
     SECTION("a stage server, calls and frees together")
@@ -120,20 +119,21 @@
         w.load("/s/x", milliseconds{300}, "1");
         w.refusing = {"p-1"};
         w.load("/s/x", LoadTime, "1");
-        w.checkLeftAlone("p-1");
+        w.checkBackoffRespected("p-1");
         CHECK(w.answeredWith(200) == w.requests.size());
     }
 }
 
-// Guards against requests that wait while nobody takes them, and come back too early.
-TEST_CASE("where all servers asked for time, requests are refused at once with its end")
+// Guards against requests that wait although no server takes them, and against clients that retry
+// too early.
+TEST_CASE("requests are refused at once with a retry time if all servers requested a backoff")
 {
     const auto checkRefused = [](backoff_world &w) {
         for (const auto &each : w.requests) {
             CHECK(each.answer->status == 503);
             const auto comeBack = std::stod(each.answer->field("retry-after"));
             CHECK(comeBack > 0.0);
-            CHECK(comeBack <= MostSpread * std::stod(w.seconds));
+            CHECK(comeBack <= MaxBackoffFactor * std::stod(w.seconds));
         }
         CHECK(w.refusedLate() == 0);
     };
@@ -149,7 +149,7 @@
         w.load("/p/x", milliseconds{1000});
         checkRefused(w);
         for (const auto *id : {"i-1", "i-2"})
-            w.checkLeftAlone(id);
+            w.checkBackoffRespected(id);
     }
     SECTION("engines: before the stages")
     {
@@ -166,7 +166,7 @@
         checkRefused(w);
         CHECK(w.pieces == piecesBefore);
         for (const auto *id : {"e-1", "e-2"})
-            w.checkLeftAlone(id);
+            w.checkBackoffRespected(id);
     }
     SECTION("stage servers")
     {
@@ -181,12 +181,12 @@
         w.load("/s/x", milliseconds{1000}, "1");
         checkRefused(w);
         for (const auto *id : {"p-1", "p-2"})
-            w.checkLeftAlone(id);
+            w.checkBackoffRespected(id);
     }
 }
 
-// Guards against a rush when times that many nodes were asked for end together.
-TEST_CASE("when the time is over, a server gets one request of each node until it takes one")
+// Guards against a burst when the backoffs of many nodes end together.
+TEST_CASE("after a backoff a server gets one request per node until it accepts one")
 {
     backoff_world w(plainRoute("unsafe"));
     w.addNoting("web", "i-1");
@@ -195,15 +195,16 @@
     w.refusing = {"i-1"};
     w.load("/p/x", milliseconds{400});
     const auto asked = w.clock.now();
-    w.runFor(milliseconds{1300}); // it is over for all nodes
+    w.runFor(milliseconds{1300}); // the backoff is over for all nodes
     for (int i = 0; i < 40; ++i)
         w.send("/p/x");
     w.awaitAll();
     CHECK(w.arrivalsSince("i-1", asked) <= FleetNodes.size());
 }
 
-// Guards against requests that were chosen before a server asked for time, and go out after.
-TEST_CASE("a request that waits for its turn at a server that then asks for time goes elsewhere")
+// Guards against requests whose server was chosen before it requested a backoff, and that are sent
+// afterwards.
+TEST_CASE("a request that waits for a server which requests a backoff meanwhile goes elsewhere")
 {
     backoff_world w(plainRoute("unsafe"));
     for (const auto *id : {"i-1", "i-2"})
@@ -216,11 +217,11 @@
     w.load("/p/x", milliseconds{1500});
     w.refusing = {"i-1"};
     w.load("/p/x", LoadTime);
-    w.checkLeftAlone("i-1");
+    w.checkBackoffRespected("i-1");
 }
 
-// Guards against a time that another start of the server had asked for.
-TEST_CASE("a server that starts again under its id has asked for nothing")
+// Guards against applying a backoff that an earlier start of the server requested.
+TEST_CASE("a restarted server with the same id has no backoff")
 {
     backoff_world w(plainRoute("unsafe"));
     w.addNoting("web", "i-1");
--- a/tests/platform/leaving_server_test.cpp
+++ b/tests/platform/leaving_server_test.cpp
@@ -1,10 +1,7 @@
-// What was seen: a model engine that had said in its answers that it leaves got requests that
-// clients sent three seconds later, from a node that had passed such an answer on.
-// How it came about: the store was silent, so its published entry still said that it was ready, and
-// the engine went on to get its usual part of the load.
-// What caused it: nodes read of answers that servers leave nothing at all.
-// What proved it: a line for each server that says so. Nodes logged it within a second in these
-// tests, and requests went there as before.
+// Guards against requests to a server that has announced in its responses that it is leaving. A
+// model engine that had done so got requests that clients sent three seconds later, from a node
+// that had forwarded such a response. The store was not responding, so the published entry still
+// said that the engine was ready, and nodes did not read the announcement in responses.
 #include "loaded_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -19,12 +16,12 @@
 
 namespace {
 
-/// A request that a client sends later than this after an answer that says so must not arrive.
+/// A request that a client sends later than this after the announcement must not reach the server.
 constexpr milliseconds DrainTime{2000};
-/// By then all nodes know what one of them heard.
-constexpr milliseconds NewsTime{300};
+/// Time within which all nodes know what one of them has learned.
+constexpr milliseconds PropagationTime{300};
 
-/// A loaded fleet some of whose servers say that they leave.
+/// A loaded fleet in which some servers announce that they are leaving.
 struct leaving_world : loaded_fleet
 {
     explicit leaving_world(const std::string &routes, const std::string &services = {})
@@ -33,41 +30,42 @@
         fieldsOf = [this](const std::string &id) {
             if (!leaving.contains(id))
                 return std::string();
-            said.try_emplace(id, clock.now());
+            announcedAt.try_emplace(id, clock.now());
             return std::string("Server-Leaving: 1\r\n");
         };
     }
 
-    /// Requests that clients sent later than `time` after the server first said that it leaves.
-    [[nodiscard]] std::size_t sentLater(const std::string &id, milliseconds time) const
+    /// Returns the number of requests that clients sent later than `time` after the server's first
+    /// announcement.
+    [[nodiscard]] std::size_t requestsSentAfter(const std::string &id, milliseconds time) const
     {
-        const auto from = said.at(id) + time;
+        const auto from = announcedAt.at(id) + time;
         return static_cast<std::size_t>(
             std::ranges::count_if(arrivals.at(id), [&](const arrival &each) {
                 const auto sent = each.node.empty() ? each.at : each.clientSentAt;
                 return sent > from;
             }));
     }
-    /// That a server left in peace: it got nothing once the nodes knew.
-    void checkLeft(const std::string &id) const
+    /// Checks that a server got no request once the nodes knew that it is leaving.
+    void checkNoLateRequests(const std::string &id) const
     {
         INFO("server " << id);
-        REQUIRE(said.contains(id));
-        CHECK(sentLater(id, DrainTime) == 0);
-        CHECK(sentLater(id, NewsTime) == 0);
+        REQUIRE(announcedAt.contains(id));
+        CHECK(requestsSentAfter(id, DrainTime) == 0);
+        CHECK(requestsSentAfter(id, PropagationTime) == 0);
     }
 
-    std::set<std::string> leaving; ///< servers that say so now
-    std::map<std::string, steady_time> said; ///< when they first did
+    std::set<std::string> leaving; ///< servers that announce so at present
+    std::map<std::string, steady_time> announcedAt; ///< time of the first announcement
 };
 
 constexpr milliseconds LoadTime{3000};
 
-/// Three plain servers behind four nodes, one of which alone gets requests until `i-1` has said
-/// that it leaves.
-struct told_by_one : leaving_world
+/// Three plain servers behind four nodes. Only one node gets requests until `i-1` has announced
+/// that it is leaving.
+struct announced_to_one_node : leaving_world
 {
-    told_by_one()
+    announced_to_one_node()
         : leaving_world(plainRoute("unsafe"))
     {
         for (const auto *id : {"i-1", "i-2", "i-3"})
@@ -75,19 +73,19 @@
         startNodes();
         store.failWith(503);
         leaving = {"i-1"};
-        while (!said.contains("i-1")) {
+        while (!announcedAt.contains("i-1")) {
             sendTo("g1", "/p/x");
             awaitAll();
         }
-        runFor(NewsTime);
+        runFor(PropagationTime);
     }
 };
 
-/// One stage server and one engine behind four nodes, without a store; one of the two leaves, and
-/// all nodes have had requests since.
-struct one_of_each : leaving_world
+/// One stage server and one engine behind four nodes, with the store unavailable. One of the two
+/// servers is leaving, and all nodes have had requests since.
+struct stage_and_engine : leaving_world
 {
-    explicit one_of_each(const std::string &leaves)
+    explicit stage_and_engine(const std::string &leaves)
         : leaving_world(streamRoute(true, OneStage), StageService + "," + EngineService)
     {
         addNoting("p", "p-1");
@@ -102,8 +100,8 @@
 
 } // namespace
 
-// Guards against requests for a server after its answers said that it leaves.
-TEST_CASE("a server that says in its answers that it leaves gets no later request")
+// Guards against requests to a server after its responses announced that it is leaving.
+TEST_CASE("a server that announces in responses that it is leaving gets no further request")
 {
     SECTION("an engine")
     {
@@ -114,7 +112,7 @@
         w.store.failWith(503);
         w.leaving = {"e-1"};
         w.load("/s/x", LoadTime);
-        w.checkLeft("e-1");
+        w.checkNoLateRequests("e-1");
         CHECK(w.answeredWith(200) == w.requests.size());
         CHECK(w.logged.str().find("event=server_said_leaving") != std::string::npos);
     }
@@ -127,7 +125,7 @@
         w.store.failWith(503);
         w.leaving = {"i-1"};
         w.load("/p/x", LoadTime);
-        w.checkLeft("i-1");
+        w.checkNoLateRequests("i-1");
         CHECK(w.answeredWith(200) == w.requests.size());
     }
     SECTION("a stage server, frees included")
@@ -140,10 +138,10 @@
         w.store.failWith(503);
         w.leaving = {"p-1"};
         w.load("/s/x", LoadTime, "1");
-        w.checkLeft("p-1");
+        w.checkNoLateRequests("p-1");
         CHECK(w.answeredWith(200) == w.requests.size());
     }
-    SECTION("a server that only refuses")
+    SECTION("a server that refuses all requests")
     {
         leaving_world w(plainRoute("unsafe"));
         for (const auto *id : {"i-1", "i-2", "i-3"})
@@ -153,49 +151,49 @@
         w.leaving = {"i-1"};
         w.refusing = {"i-1"};
         w.load("/p/x", LoadTime);
-        w.checkLeft("i-1");
+        w.checkNoLateRequests("i-1");
         CHECK(w.answeredWith(200) == w.requests.size());
     }
 }
 
-// Guards against nodes that keep to themselves that a server leaves.
-TEST_CASE("nodes that had no answer of a server that leaves hear it from the one that had")
+// Guards against nodes that don't tell other nodes that a server is leaving.
+TEST_CASE("a node that learns of a leaving server informs the other nodes")
 {
-    told_by_one w;
+    announced_to_one_node w;
     w.idleNodes = {"g1"};
     w.load("/p/x", milliseconds{1500});
-    w.checkLeft("i-1");
+    w.checkNoLateRequests("i-1");
     CHECK(w.answeredWith(200) == w.requests.size());
     CHECK(w.logged.str().find("heard=peer") != std::string::npos);
 }
 
-// Guards against a node that starts later and reads a list that is behind.
-TEST_CASE("a node that starts later hears which servers said that they leave")
+// Guards against a node that starts later and reads a list that is out of date.
+TEST_CASE("a node that starts later is informed of leaving servers")
 {
-    told_by_one w;
+    announced_to_one_node w;
     w.store.failWith(0);
     w.startGateway("g5");
     w.runFor(milliseconds{600});
     for (int i = 0; i < 12; ++i)
         w.sendTo("g5", "/p/x");
     w.awaitAll();
-    w.checkLeft("i-1");
+    w.checkNoLateRequests("i-1");
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-// Guards against published news that are older than an answer.
-TEST_CASE("an entry that says ready doesn't undo what answers said")
+// Guards against a published record that is older than a response overriding the response.
+TEST_CASE("a published ready entry does not override a leaving announcement")
 {
-    told_by_one w;
+    announced_to_one_node w;
     w.store.failWith(0);
     w.announce(w.server("i-1"), "web");
     w.runFor(milliseconds{1500});
     w.load("/p/x", milliseconds{1000});
-    w.checkLeft("i-1");
+    w.checkNoLateRequests("i-1");
 }
 
-// Guards against what was said by an earlier start.
-TEST_CASE("a server that starts again under its id doesn't leave")
+// Guards against applying the announcement of an earlier start.
+TEST_CASE("a restarted server with the same id is not leaving")
 {
     leaving_world w(plainRoute("unsafe"));
     w.addNoting("web", "i-1");
@@ -211,8 +209,8 @@
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-// Guards against an address that takes along what its last server said.
-TEST_CASE("another server at the address of one that left gets requests")
+// Guards against applying the announcement of a server to the next server at its address.
+TEST_CASE("a new server at the address of one that left gets requests")
 {
     leaving_world w(plainRoute("unsafe"));
     auto &first = w.addNoting("web", "i-1");
@@ -226,13 +224,13 @@
         "servers/i-9",
         R"({"service":"web","address":")" + toText(first.address())
             + R"(","zone":"z","version":"v1","slots":8,"phase":"ready","cold_remaining_ms":0,"sequence":1})");
-    w.runFor(milliseconds{3500}); // removals are believed late after a store was silent
+    w.runFor(milliseconds{3500}); // removals are applied late after a store outage
     w.load("/p/x", milliseconds{500});
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-// Guards against work, and waiting, for requests that nobody will serve.
-TEST_CASE("where all servers of a service leave, its requests are refused at once")
+// Guards against spending work and time on requests that no server will take.
+TEST_CASE("requests are refused at once if all servers of the service are leaving")
 {
     SECTION("plain servers")
     {
@@ -250,7 +248,7 @@
     }
     SECTION("engines: before the stages")
     {
-        one_of_each w("e-1");
+        stage_and_engine w("e-1");
         const int piecesBefore = w.pieces;
         w.load("/s/x", milliseconds{500}, "1");
         CHECK(w.answeredWith(503) == w.requests.size());
@@ -259,17 +257,17 @@
     }
     SECTION("stage servers")
     {
-        one_of_each w("p-1");
+        stage_and_engine w("p-1");
         w.load("/s/x", milliseconds{500}, "1");
         CHECK(w.answeredWith(503) == w.requests.size());
         CHECK(w.refusedLate() == 0);
     }
 }
 
-// Guards against work that is lost with a server that leaves as it said.
-TEST_CASE("streams and results at a server that leaves end, or go on elsewhere")
+// Guards against work that is lost when a leaving server shuts down.
+TEST_CASE("streams and results at a leaving server are completed or moved to another server")
 {
-    SECTION("a stream that its server breaks off as it ends goes on at another one")
+    SECTION("a stream that is reset by a leaving server continues at another one")
     {
         leaving_world w(streamRoute(true), EngineService);
         auto &first = w.addNoting("engine", "e-1");
@@ -292,7 +290,7 @@
         CHECK(w.requests.front().answer->body == event(1) + event(2));
         CHECK(w.requests.front().answer->end == http::call_end::Complete);
     }
-    SECTION("results that a stage server made before are used")
+    SECTION("results of a leaving stage server are used")
     {
         leaving_world w(streamRoute(true, OneStage), StageService + "," + EngineService);
         w.addNoting("p", "p-1");
--- a/tests/platform/limited_server_test.cpp
+++ b/tests/platform/limited_server_test.cpp
@@ -1,11 +1,9 @@
-// What was seen: a model engine that had named a limit of one request a second in its answers got
-// twelve in four seconds, from nodes that had passed such an answer on.
-// How it came about: the engine went on to get its usual part of the load, two to three requests a
-// second, from all nodes; nothing about it was on any node's record.
-// What caused it: nodes read no limit in answers. Had each kept to it by itself, eight nodes would
-// have sent eight times of it: it is a sum over nodes that don't see each other's requests.
-// What proved it: a line for each limit that a node hears. Every node logged it within a second in
-// these tests, and the rate at the server stayed what it was, without a stop of any node.
+// Guards against servers that get more requests than the rate limit that they announce in their
+// responses. A model engine that announced a limit of one request per second got twelve in four
+// seconds, from nodes that had forwarded such a response: nodes did not read the limit, and all of
+// them went on sending the engine its usual two to three requests per second. A limit kept by each
+// node separately isn't enough: it covers the requests of all nodes, so eight nodes would send
+// eight times the limit.
 #include "loaded_fleet.h"
 
 #include <catch2/catch.hpp>
@@ -21,14 +19,15 @@
 
 namespace {
 
-/// What a limited server must not get more of than its limit allows, from all nodes together.
+/// Within any such window, a limited server may get `RateTolerance` times its limit plus
+/// `RequestAllowance` requests from all nodes together.
 constexpr std::chrono::seconds Window{4};
-constexpr double Overshoot = 1.5;
-constexpr double Allowance = 5.0;
-/// From so long after a server first named its limit.
-constexpr milliseconds ContactTime{3000};
+constexpr double RateTolerance = 1.5;
+constexpr double RequestAllowance = 5.0;
+/// Time after a server first announced its limit from which on nodes must keep to it.
+constexpr milliseconds DetectionTime{3000};
 
-/// Four nodes before servers that may name a limit.
+/// Four nodes and servers that may announce a rate limit.
 struct limited_world : loaded_fleet
 {
     explicit limited_world(const std::string &routes, const std::string &services = {})
@@ -37,23 +36,24 @@
         fieldsOf = [this](const std::string &id) { return limitField(id); };
     }
 
-    /// The limit that the server names now, if it names one.
+    /// Returns the header field for the limit that the server announces at present, or nothing.
     std::string limitField(const std::string &id)
     {
         const auto limit = limits.find(id);
         if (limit == limits.end())
             return {};
-        named.try_emplace(id, clock.now());
+        firstAnnounced.try_emplace(id, clock.now());
         std::ostringstream field;
         field << "Server-Limit: " << limit->second << "\r\n";
         return field.str();
     }
 
-    /// The most that a server got within the window, since its nodes had to know its limit.
-    [[nodiscard]] std::size_t mostWithin(const std::string &id) const
+    /// Returns the largest number of requests that a server got within a window, from the time when
+    /// nodes had to know its limit.
+    [[nodiscard]] std::size_t maxInWindow(const std::string &id) const
     {
         const auto &all = arrivals.at(id);
-        const auto from = named.at(id) + ContactTime;
+        const auto from = firstAnnounced.at(id) + DetectionTime;
         std::size_t most = 0;
         for (const auto &first : all) {
             if (first.at < from)
@@ -65,33 +65,34 @@
         }
         return most;
     }
-    /// That a server got most of what it takes since its nodes know its limit, all the time.
-    void checkUsed(const std::string &id) const
+    /// Checks that a server got most of the requests that it takes, from the time when nodes had to
+    /// know its limit.
+    void checkUtilization(const std::string &id) const
     {
-        const auto from = named.at(id) + ContactTime;
+        const auto from = firstAnnounced.at(id) + DetectionTime;
         const std::chrono::duration<double> time = arrivals.at(id).back().at - from;
         const double taken = limits.at(id) * time.count();
         INFO("server " << id << " takes " << taken << " in " << time.count() << " s");
         CHECK(static_cast<double>(arrivalsSince(id, from)) >= 0.7 * taken - 1.0);
     }
-    void checkKept(const std::string &id) const
+    void checkLimitKept(const std::string &id) const
     {
-        const double allowed = Overshoot * limits.at(id) * Window.count() + Allowance;
+        const double allowed = RateTolerance * limits.at(id) * Window.count() + RequestAllowance;
         INFO("server " << id << ", limit " << limits.at(id) << " a second");
-        REQUIRE(named.contains(id));
-        CHECK(static_cast<double>(mostWithin(id)) <= allowed);
+        REQUIRE(firstAnnounced.contains(id));
+        CHECK(static_cast<double>(maxInWindow(id)) <= allowed);
     }
 
-    std::map<std::string, double> limits; ///< that servers name now
-    std::map<std::string, steady_time> named; ///< when they first did
+    std::map<std::string, double> limits; ///< limits announced at present
+    std::map<std::string, steady_time> firstAnnounced; ///< time of the first announcement
 };
 
-/// Long enough for a window after the time in which nodes must come to know.
+/// Long enough for a window after the time in which nodes have to learn the limit.
 constexpr milliseconds LoadTime{9000};
 
 } // namespace
 
-TEST_CASE("an engine that names a limit gets no more from all nodes together")
+TEST_CASE("the rate limit of an engine holds for all nodes together")
 {
     limited_world w(streamRoute(true), EngineService);
     for (const auto *id : {"e-1", "e-2", "e-3"})
@@ -99,14 +100,14 @@
     w.limits["e-1"] = 1.0;
     w.startNodes();
     w.load("/s/x", LoadTime);
-    w.checkKept("e-1");
-    w.checkUsed("e-1");
+    w.checkLimitKept("e-1");
+    w.checkUtilization("e-1");
     CHECK(w.logged.str().find("server=e-1 service=engine per_second=1 before=none")
           != std::string::npos);
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-TEST_CASE("a server of a plain service that names a limit gets no more from all nodes together")
+TEST_CASE("the rate limit of a plain server holds for all nodes together")
 {
     limited_world w(plainRoute("unsafe"));
     for (const auto *id : {"i-1", "i-2", "i-3"})
@@ -114,12 +115,12 @@
     w.limits["i-1"] = 1.0;
     w.startNodes();
     w.load("/p/x", LoadTime);
-    w.checkKept("i-1");
-    w.checkUsed("i-1");
+    w.checkLimitKept("i-1");
+    w.checkUtilization("i-1");
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-TEST_CASE("a stage server that names a limit gets no more calls and frees together")
+TEST_CASE("the rate limit of a stage server holds for calls and frees together")
 {
     limited_world w(streamRoute(true, OneStage), StageService + "," + EngineService);
     for (const auto *id : {"p-1", "p-2"})
@@ -128,12 +129,12 @@
     w.limits["p-1"] = 1.0;
     w.startNodes();
     w.load("/s/x", LoadTime, "1");
-    w.checkKept("p-1");
-    w.checkUsed("p-1");
+    w.checkLimitKept("p-1");
+    w.checkUtilization("p-1");
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-TEST_CASE("what limits of engines leave no room for is refused before its stages")
+TEST_CASE("requests beyond the rate limits of engines are refused before their stages")
 {
     limited_world w(streamRoute(true, OneStage), StageService + "," + EngineService);
     w.addNoting("p", "p-1");
@@ -148,7 +149,7 @@
     const auto begin = w.clock.now();
     w.load("/s/x", LoadTime, "1");
     for (const auto *id : {"e-1", "e-2"})
-        w.checkKept(id);
+        w.checkLimitKept(id);
     const std::chrono::duration<double> time = w.clock.now() - begin;
     const auto served = w.answeredWith(200);
     INFO("served " << served << " of " << w.requests.size() << " in " << time.count() << " s");
@@ -162,7 +163,7 @@
     CHECK(w.refusedLate() * 20 <= w.requests.size());
 }
 
-TEST_CASE("what limits of plain servers leave no room for is refused at once")
+TEST_CASE("requests beyond the rate limits of plain servers are refused at once")
 {
     limited_world w(plainRoute("unsafe"));
     for (const auto *id : {"i-1", "i-2"}) {
@@ -175,7 +176,7 @@
     const auto begin = w.clock.now();
     w.load("/p/x", LoadTime);
     for (const auto *id : {"i-1", "i-2"})
-        w.checkKept(id);
+        w.checkLimitKept(id);
     const std::chrono::duration<double> time = w.clock.now() - begin;
     const auto served = w.answeredWith(200);
     INFO("served " << served << " of " << w.requests.size() << " in " << time.count() << " s");
@@ -184,7 +185,7 @@
     CHECK(w.refusedLate() * 20 <= w.requests.size());
 }
 
-TEST_CASE("what limits of stage servers leave no room for is refused at once")
+TEST_CASE("requests beyond the rate limits of stage servers are refused at once")
 {
     limited_world w(streamRoute(true, OneStage), StageService + "," + EngineService);
     for (const auto *id : {"p-1", "p-2"}) {
@@ -193,22 +194,22 @@
     }
     w.addNoting("engine", "e-1");
     w.startNodes();
-    w.load("/s/x", milliseconds{3000}, "4"); // a whole call each
+    w.load("/s/x", milliseconds{3000}, "4"); // four pieces are a whole stage call
     w.requests.clear();
     const auto begin = w.clock.now();
     w.load("/s/x", LoadTime, "4");
     for (const auto *id : {"p-1", "p-2"})
-        w.checkKept(id);
+        w.checkLimitKept(id);
     const std::chrono::duration<double> time = w.clock.now() - begin;
     const auto served = w.answeredWith(200);
     INFO("served " << served << " of " << w.requests.size() << " in " << time.count() << " s");
-    // Frees take part of what the servers bear.
+    // Calls that free results take part of the servers' limit.
     CHECK(static_cast<double>(served) >= 0.4 * 6.0 * time.count());
     CHECK(w.answeredWith(200) + w.answeredWith(503) == w.requests.size());
     CHECK(w.refusedLate() * 5 <= w.requests.size());
 }
 
-TEST_CASE("a server that names no limit any more gets its full share at once")
+TEST_CASE("a server that withdraws its rate limit gets its full load at once")
 {
     limited_world w(streamRoute(true) + "," + plainRoute("safe"), EngineService);
     w.addNoting("engine", "e-1");
@@ -219,7 +220,7 @@
     w.load("/s/x", milliseconds{2000});
     w.load("/p/x", milliseconds{2000});
     w.limits.clear();
-    w.load("/s/x", milliseconds{600}); // some answer tells that it is over
+    w.load("/s/x", milliseconds{600}); // a response shows that the limit has ended
     w.load("/p/x", milliseconds{600});
     w.requests.clear();
     w.load("/s/x", milliseconds{1000});
@@ -227,7 +228,7 @@
     CHECK(w.answeredWith(200) == w.requests.size());
 }
 
-TEST_CASE("a limit is kept while nodes that place requests stop and start")
+TEST_CASE("rate limits hold while nodes that place requests stop")
 {
     limited_world w(streamRoute(true) + "," + plainRoute("safe"), EngineService);
     for (const auto *id : {"e-1", "e-2", "e-3"})
@@ -244,6 +245,6 @@
         w.load("/s/x", milliseconds{1200});
         w.load("/p/x", milliseconds{1200});
     }
-    w.checkKept("e-1");
-    w.checkKept("i-1");
+    w.checkLimitKept("e-1");
+    w.checkLimitKept("i-1");
 }
--- a/tests/platform/residency_test.cpp
+++ b/tests/platform/residency_test.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-constexpr milliseconds AtOnce{250};
+constexpr milliseconds ImmediateRefusal{250};
 
-/// `route` with regions where its requests may be worked on.
-std::string boundTo(std::string route, const std::string &regions)
+/// Returns `route` with the regions in which its requests may be processed.
+std::string restrictedTo(std::string route, const std::string &regions)
 {
     route.insert(route.size() - 1, R"(,"allowed_regions":)" + regions);
     return route;
 }
 
-std::string customerBoundTo(const std::string &regions)
+std::string customerRestrictedTo(const std::string &regions)
 {
     return R"(,"allowed_regions":)" + regions;
 }
 
-/// Two regions with a data centre each, a server of a plain service in each, a node in the first.
+/// Two regions with one data centre each, a server of a plain service in each of them, and a node
+/// in the first.
 struct plain_regions : world
 {
     plain_regions()
@@ -34,8 +35,8 @@
         publish(1, route, {}, customerFields);
         startGateway("g1");
     }
-    /// Sends some requests; gives the status of the last.
-    int ask(int times = 10)
+    /// Sends requests one after the other; returns the status of the last.
+    int sendRequests(int times = 10)
     {
         int status = 0;
         for (int i = 0; i < times; ++i) {
@@ -56,84 +57,85 @@
 
 } // namespace
 
-TEST_CASE("a request that isn't bound stays in the region of its node")
+TEST_CASE("an unrestricted request stays in the region of its node")
 {
     plain_regions w;
     w.start(plainRoute("safe"));
-    CHECK(w.ask() == 200);
+    CHECK(w.sendRequests() == 200);
     CHECK(w.south.requests().empty());
 }
 
-TEST_CASE("a request whose route is bound to a region goes to no server elsewhere")
+TEST_CASE("a request whose route is restricted to a region is sent to no other region")
 {
     plain_regions w;
-    w.start(boundTo(plainRoute("safe"), R"(["south"])"));
-    CHECK(w.ask() == 200);
+    w.start(restrictedTo(plainRoute("safe"), R"(["south"])"));
+    CHECK(w.sendRequests() == 200);
     CHECK(w.north.requests().empty());
 }
 
-TEST_CASE("a request whose customer is bound to a region goes to no server elsewhere")
+TEST_CASE("a request whose customer is restricted to a region is sent to no other region")
 {
     plain_regions w;
-    w.start(plainRoute("safe"), customerBoundTo(R"(["south"])"));
-    CHECK(w.ask() == 200);
+    w.start(plainRoute("safe"), customerRestrictedTo(R"(["south"])"));
+    CHECK(w.sendRequests() == 200);
     CHECK(w.north.requests().empty());
 }
 
-TEST_CASE("where route and customer are bound both bind, and what fits neither is refused at once")
+TEST_CASE("restrictions of route and customer both apply, and a request without a common region is "
+          "refused at once")
 {
     plain_regions w;
-    w.start(boundTo(plainRoute("safe"), R"(["south"])"), customerBoundTo(R"(["north"])"));
+    w.start(restrictedTo(plainRoute("safe"), R"(["south"])"), customerRestrictedTo(R"(["north"])"));
     const auto began = w.clock.now();
-    CHECK(w.ask(1) == 503);
-    CHECK(w.clock.now() - began < AtOnce);
+    CHECK(w.sendRequests(1) == 503);
+    CHECK(w.clock.now() - began < ImmediateRefusal);
     CHECK(w.north.requests().size() + w.south.requests().size() == 0);
     CHECK(w.runUntil(
         [&] { return w.logged.str().find("outcome=out_of_region") != std::string::npos; }));
 }
 
-TEST_CASE("a bound request is tried again in its region or not at all")
+TEST_CASE("a restricted request is retried only in its region")
 {
     plain_regions w;
-    w.start(boundTo(plainRoute("safe"), R"(["south"])"));
+    w.start(restrictedTo(plainRoute("safe"), R"(["south"])"));
     w.south.behave([](const server_request &, const std::shared_ptr<server_answer> &answer) {
         answer->reset();
     });
-    CHECK(w.ask(3) >= 500);
+    CHECK(w.sendRequests(3) >= 500);
     CHECK(w.north.requests().empty());
 }
 
-TEST_CASE("a bound request that a server holds up is sent to no other region")
+TEST_CASE("a restricted request whose server does not respond is sent to no other region")
 {
     plain_regions w;
-    w.start(boundTo(plainRoute("safe"), R"(["south"])"));
+    w.start(restrictedTo(plainRoute("safe"), R"(["south"])"));
     w.south.behave([](const server_request &, const std::shared_ptr<server_answer> &) {});
-    CHECK(w.ask(1) >= 500);
+    CHECK(w.sendRequests(1) >= 500);
     CHECK(w.north.requests().empty());
 }
 
-TEST_CASE("a bound request whose region has no server left is refused at once")
+TEST_CASE("a restricted request whose region has no server left is refused at once")
 {
     plain_regions w;
-    w.start(boundTo(plainRoute("safe"), R"(["south"])"));
+    w.start(restrictedTo(plainRoute("safe"), R"(["south"])"));
     REQUIRE(w.untilWatched());
     w.store.remove("servers/i-2");
     w.runFor(milliseconds{1500});
     const auto began = w.clock.now();
-    CHECK(w.ask(1) == 503);
-    CHECK(w.clock.now() - began < AtOnce);
+    CHECK(w.sendRequests(1) == 503);
+    CHECK(w.clock.now() - began < ImmediateRefusal);
     CHECK(w.north.requests().empty());
 }
 
-TEST_CASE("regions that can't be read leave the configuration before in force")
+TEST_CASE("a configuration with malformed regions does not replace the previous one")
 {
     plain_regions w;
-    w.start(boundTo(plainRoute("safe"), R"(["south"])"));
+    w.start(restrictedTo(plainRoute("safe"), R"(["south"])"));
     REQUIRE(w.untilWatched());
-    w.publish(2, boundTo(plainRoute("safe"), R"("north")"));
-    w.publish(3, plainRoute("safe"), {}, customerBoundTo("[7]"));
+    w.publish(2, restrictedTo(plainRoute("safe"), R"("north")"));
+    w.publish(3, plainRoute("safe"), {}, customerRestrictedTo("[7]"));
     w.runFor(milliseconds{1500});
-    CHECK(w.ask() == 200);
+    CHECK(w.sendRequests() == 200);
     CHECK(w.north.requests().empty());
     CHECK(w.logged.str().find("publication_unreadable") != std::string::npos);
 }
@@ -146,7 +148,7 @@
     R"({"name":"p","segments":{"slots":1,"queue":2,"batch":1,"call_ms":20,"item_ms":1,)"
     R"("headroom_mb":1,"handle_s":4}},{"name":"engine","engine":{"slots":8,"kv_capacity":100000}})";
 
-/// A stage server and an engine in each of two regions.
+/// A stage server and an engine in each of the two regions.
 struct staged_regions : plain_regions
 {
     staged_regions()
@@ -161,8 +163,8 @@
             each->behave(answerOneEvent);
         }
     }
-    /// Sends so many requests at once and waits for them all; gives how many were answered.
-    int askStaged(int count)
+    /// Sends requests at the same time and awaits them all; returns the number answered with 200.
+    int sendStagedRequests(int count)
     {
         std::vector<std::shared_ptr<client_answer>> answers;
         for (int i = 0; i < count; ++i) {
@@ -188,22 +190,22 @@
 
 } // namespace
 
-TEST_CASE("stages and the request itself stay in the regions that they are bound to")
+TEST_CASE("stages and the request itself stay in the regions that they are restricted to")
 {
     staged_regions w;
-    w.publish(1, boundTo(streamRoute(true, Stages), R"(["south"])"), Services);
+    w.publish(1, restrictedTo(streamRoute(true, Stages), R"(["south"])"), Services);
     w.startGateway("g1");
-    CHECK(w.askStaged(6) == 6);
+    CHECK(w.sendStagedRequests(6) == 6);
     CHECK(w.northStage.requests().empty());
     CHECK(w.northEngine.requests().empty());
 }
 
-TEST_CASE("stages that aren't bound stay in one region, where their node is")
+TEST_CASE("unrestricted stages stay in the region of their node")
 {
     staged_regions w;
     w.publish(1, streamRoute(true, Stages), Services);
     w.startGateway("g1");
-    CHECK(w.askStaged(6) == 6);
+    CHECK(w.sendStagedRequests(6) == 6);
     CHECK(w.southStage.requests().empty());
     CHECK(w.southEngine.requests().empty());
 }
