--- a/src/gateway/placement/placement_board.cpp
+++ b/src/gateway/placement/placement_board.cpp
@@ -7,24 +7,27 @@
 
 namespace {
 
-// Tokens read at a time between the tokens of running streams; a longer prompt makes streams pause.
-// The engines served so far read 4096.
-constexpr std::uint64_t ChunkTokens = 4096;
-// What a running stream costs a new request, in prompt tokens: each step takes a little longer.
-constexpr double StreamCost = 100.0;
-// What each running stream counts for a token beyond the first chunk: it may pause too long.
-constexpr double PauseCost = 0.12;
-// Inputs that cross to another data centre, in tokens for a byte: the price of a megabyte there is
-// about that of 260 tokens read again.
-constexpr double CrossingCost = 260e-6;
-// Any other server comes before one that is avoided.
+// Prompt tokens that an engine reads in one step, between the tokens of running streams; a longer
+// prompt makes the streams pause. The engines in use read 4096 tokens.
+constexpr std::uint64_t PrefillChunkTokens = 4096;
+// Cost of each running stream for a new request, in prompt tokens: each step takes a little longer.
+constexpr double RunningStreamCost = 100.0;
+// Cost of each running stream per prompt token beyond the first chunk: the stream may pause too
+// long.
+constexpr double StreamPauseCostPerToken = 0.12;
+// Cost of moving inputs to another data centre, in prompt tokens per byte: moving a megabyte costs
+// about as much as reading 260 tokens again.
+constexpr double TransferCostPerByte = 260e-6;
+// Any other server is preferred to an avoided one.
 constexpr double AvoidedCost = 1e9;
-// Placements whose end was never told: longer than any request lasts.
+// Placements whose end was never reported are dropped after this time, longer than any request
+// takes.
 constexpr std::chrono::seconds PlacementLifetime{60};
-// Engines keep about as much as they publish, less what running requests take.
-constexpr double KeptShare = 0.7;
-// Where nothing is published.
-constexpr std::uint64_t DefaultCapacity = 200'000;
+// Share of the published capacity that an engine can use for cached prompts; running requests take
+// the rest.
+constexpr double CachedCapacityShare = 0.7;
+// Used if the service publishes no capacity.
+constexpr std::uint64_t DefaultCapacityTokens = 200'000;
 
 } // namespace
 
@@ -39,34 +42,36 @@
     m_capacities[service] = tokens;
 }
 
-// A part is of use only where all parts before it are kept, too.
-std::uint64_t placement_board::missingTokens(const engine &state, const placement_wish &wish)
+// A cached part is usable only if all parts before it are cached as well.
+std::uint64_t placement_board::uncachedTokens(const engine &state, const placement_wish &wish)
 {
-    std::uint64_t missing = 0;
-    bool kept = true;
+    std::uint64_t uncached = 0;
+    bool cached = true;
     for (const auto &part : wish.prompt) {
-        kept = kept && state.parts.contains(part.id);
-        if (!kept)
-            missing += part.tokens;
+        cached = cached && state.parts.contains(part.id);
+        if (!cached)
+            uncached += part.tokens;
     }
-    return missing;
+    return uncached;
 }
 
-double placement_board::costOf(const server &which, const placement_wish &wish)
+double placement_board::costOf(const server &backend, const placement_wish &wish)
 {
-    const auto &state = m_engines[which.record.start()];
-    const auto missing = missingTokens(state, wish);
-    double cost = static_cast<double>(missing + state.reading) + StreamCost * state.streams;
-    if (missing > ChunkTokens)
-        cost += PauseCost * static_cast<double>(missing - ChunkTokens) * state.streams;
-    if (!wish.near.empty() && which.record.dataCenter != wish.near)
-        cost += CrossingCost * static_cast<double>(wish.nearBytes);
-    if (which.avoidUntil > m_clock.now())
+    const auto &state = m_engines[backend.record.start()];
+    const auto uncached = uncachedTokens(state, wish);
+    double cost =
+        static_cast<double>(uncached + state.prefillTokens) + RunningStreamCost * state.streams;
+    if (uncached > PrefillChunkTokens)
+        cost += StreamPauseCostPerToken * static_cast<double>(uncached - PrefillChunkTokens)
+            * state.streams;
+    if (!wish.near.empty() && backend.record.dataCenter != wish.near)
+        cost += TransferCostPerByte * static_cast<double>(wish.nearBytes);
+    if (backend.avoidUntil > m_clock.now())
         cost += AvoidedCost;
     return cost;
 }
 
-std::vector<server_ptr> placement_board::untried(const placement_wish &wish) const
+std::vector<server_ptr> placement_board::untriedServers(const placement_wish &wish) const
 {
     auto servers = m_directory.usable(wish.pool);
     std::erase_if(servers, [&](const server_ptr &each) {
@@ -75,21 +80,21 @@
     return servers;
 }
 
-std::vector<server_ptr> placement_board::candidates(const std::vector<server_ptr> &inPool,
+std::vector<server_ptr> placement_board::candidates(const std::vector<server_ptr> &poolServers,
                                                     const placement_wish &wish, double share) const
 {
-    auto free = inPool;
-    std::erase_if(free, [&](const server_ptr &each) { return !m_pace.allows(*each, share); });
+    auto sendable = poolServers;
+    std::erase_if(sendable, [&](const server_ptr &each) { return !m_pace.allows(*each, share); });
     const auto now = m_clock.now();
-    if (std::ranges::any_of(free, [&](const auto &each) { return each->avoidUntil <= now; }))
-        return free;
-    auto everywhere = wish;
-    everywhere.pool = {wish.pool.service};
-    auto anywhere = untried(everywhere);
-    std::erase_if(anywhere, [&](const server_ptr &each) {
+    if (std::ranges::any_of(sendable, [&](const auto &each) { return each->avoidUntil <= now; }))
+        return sendable;
+    auto serviceWide = wish;
+    serviceWide.pool = {wish.pool.service};
+    auto otherServers = untriedServers(serviceWide);
+    std::erase_if(otherServers, [&](const server_ptr &each) {
         return !wish.allowed.allows(each->region) || !m_pace.allows(*each, 0.0);
     });
-    return anywhere.empty() ? free : anywhere;
+    return otherServers.empty() ? sendable : otherServers;
 }
 
 server_ptr placement_board::cheapest(const std::vector<server_ptr> &servers,
@@ -107,29 +112,29 @@
     return best;
 }
 
-placed_request placement_board::nextTurn(const std::vector<server_ptr> &inPool,
-                                         const placement_wish &wish, double share) const
+placed_request placement_board::earliestAllowed(const std::vector<server_ptr> &poolServers,
+                                                const placement_wish &wish, double share) const
 {
-    placed_request turn;
+    placed_request candidate;
     if (share <= 0)
-        return turn;
+        return candidate;
     steady_time earliest = steady_time::max();
-    for (const auto &each : inPool) {
+    for (const auto &each : poolServers) {
         const auto at = m_pace.nextAt(*each, share);
         if (at < earliest) {
             earliest = at;
-            turn.server = each;
+            candidate.server = each;
         }
     }
-    if (!turn.server)
-        return turn;
-    turn.wait = std::chrono::ceil<milliseconds>(earliest - m_clock.now());
-    if (turn.wait > wish.patience)
-        turn.server = nullptr;
-    return turn;
+    if (!candidate.server)
+        return candidate;
+    candidate.wait = std::chrono::ceil<milliseconds>(earliest - m_clock.now());
+    if (candidate.wait > wish.patience)
+        candidate.server = nullptr;
+    return candidate;
 }
 
-std::optional<double> placement_board::rateOf(const placement_wish &wish, double share) const
+std::optional<double> placement_board::poolRateLimit(const placement_wish &wish, double share) const
 {
     if (!m_directory.allBounded(wish.pool.service, wish.allowed))
         return std::nullopt;
@@ -139,69 +144,72 @@
     return perSecond;
 }
 
-milliseconds placement_board::askAdmission(const placement_wish &wish, double perSecond)
+milliseconds placement_board::tryPoolAdmission(const placement_wish &wish, double perSecond)
 {
-    return m_admissions.try_emplace(wish.pool, m_clock).first->second.ask(wish.rank, perSecond);
+    return m_admissions.try_emplace(wish.pool, m_clock)
+        .first->second.tryAdmit(wish.rank, perSecond);
 }
 
 admission placement_board::admit(const placement_wish &wish, double share)
 {
-    const auto perSecond = rateOf(wish, share);
+    const auto perSecond = poolRateLimit(wish, share);
     if (!perSecond)
         return {};
     if (share <= 0)
         return {false, milliseconds{0}, true};
-    const auto comeBack = askAdmission(wish, *perSecond);
+    const auto comeBack = tryPoolAdmission(wish, *perSecond);
     return {comeBack == milliseconds{0}, comeBack, true};
 }
 
 placed_request placement_board::place(placement_id id, const placement_wish &wish, double share)
 {
-    forgetLapsed();
-    const auto perSecond = rateOf(wish, share);
+    expirePlacements();
+    const auto perSecond = poolRateLimit(wish, share);
     placed_request placed;
     if (perSecond && share > 0 && !wish.admitted)
-        placed.wait = askAdmission(wish, *perSecond);
+        placed.wait = tryPoolAdmission(wish, *perSecond);
     if (placed.wait == milliseconds{0}) {
-        const auto inPool = untried(wish);
-        placed.server = cheapest(candidates(inPool, wish, share), wish);
+        const auto poolServers = untriedServers(wish);
+        placed.server = cheapest(candidates(poolServers, wish, share), wish);
         if (!placed.server)
-            placed = nextTurn(inPool, wish, share);
+            placed = earliestAllowed(poolServers, wish, share);
     }
     placed.allBounded = perSecond.has_value();
     if (placed.server) {
         m_pace.onSent(*placed.server, share);
-        note(id, wish, *placed.server);
+        recordPlacement(id, wish, *placed.server);
     }
     return placed;
 }
 
-void placement_board::note(placement_id id, const placement_wish &wish, const server &chosen)
+void placement_board::recordPlacement(placement_id id, const placement_wish &wish,
+                                      const server &chosen)
 {
     auto &state = m_engines[chosen.record.start()];
-    const auto missing = missingTokens(state, wish);
-    state.reading += missing;
+    const auto uncached = uncachedTokens(state, wish);
+    state.prefillTokens += uncached;
     ++state.streams;
-    m_placements[id] = {chosen.record.start(), missing, m_clock.now()};
+    m_placements[id] = {chosen.record.start(), uncached, m_clock.now()};
     const auto known = m_capacities.find(wish.pool.service);
-    keep(state, wish, known == m_capacities.end() ? DefaultCapacity : known->second);
+    cacheParts(state, wish, known == m_capacities.end() ? DefaultCapacityTokens : known->second);
 }
 
-// The least recently used parts yield, as they do in the engine.
-void placement_board::keep(engine &state, const placement_wish &wish, std::uint64_t capacity)
+// Evicts the least recently used parts, as the engine does.
+void placement_board::cacheParts(engine &state, const placement_wish &wish, std::uint64_t capacity)
 {
     for (std::size_t i = 0; i + 1 < wish.prompt.size(); ++i) {
         const auto &part = wish.prompt[i];
         const auto [entry, isNew] = state.parts.try_emplace(part.id);
         entry->second = {part.tokens, m_clock.now()};
         if (isNew)
-            state.keptTokens += part.tokens;
+            state.cachedTokens += part.tokens;
     }
-    const auto bound = static_cast<std::uint64_t>(KeptShare * static_cast<double>(capacity));
-    while (state.keptTokens > bound && !state.parts.empty()) {
+    const auto limit =
+        static_cast<std::uint64_t>(CachedCapacityShare * static_cast<double>(capacity));
+    while (state.cachedTokens > limit && !state.parts.empty()) {
         const auto oldest = std::ranges::min_element(
-            state.parts, {}, [](const auto &entry) { return entry.second.used; });
-        state.keptTokens -= oldest->second.tokens;
+            state.parts, {}, [](const auto &entry) { return entry.second.lastUsed; });
+        state.cachedTokens -= oldest->second.tokens;
         state.parts.erase(oldest);
     }
 }
@@ -212,7 +220,7 @@
     if (found == m_placements.end())
         return;
     auto &state = m_engines[found->second.server];
-    state.reading -= std::min(state.reading, found->second.tokens);
+    state.prefillTokens -= std::min(state.prefillTokens, found->second.tokens);
     found->second.tokens = 0;
 }
 
@@ -231,14 +239,14 @@
         m_engines.erase(server);
 }
 
-void placement_board::forgetLapsed()
+void placement_board::expirePlacements()
 {
-    std::vector<placement_id> lapsed;
+    std::vector<placement_id> expired;
     for (const auto &[id, each] : m_placements) {
-        if (m_clock.now() - each.began > PlacementLifetime)
-            lapsed.push_back(id);
+        if (m_clock.now() - each.startedAt > PlacementLifetime)
+            expired.push_back(id);
     }
-    for (const auto id : lapsed)
+    for (const auto id : expired)
         onEnd(id);
 }
 
--- a/src/gateway/placement/placement_board.h
+++ b/src/gateway/placement/placement_board.h
@@ -19,109 +19,114 @@
 
 using placement_id = std::uint64_t;
 
-/// A request that looks for a server whose requests are placed in one place: a model engine, or one
-/// of a pool in which some bear only so many.
+/// A request to be placed on a server by the host of its pool: a model engine, or a server of a
+/// pool with rate-limited servers.
 struct placement_wish
 {
     pool_key pool;
     stage_rank rank;
-    milliseconds patience{0}; ///< longest time that it may wait for its turn
-    bool admitted = false; ///< by the pool's host, before its stages
-    std::vector<prompt_part> prompt; ///< parts in order; the last belongs to the request alone
-    data_center_id near; ///< where its inputs lie
-    std::uint64_t nearBytes = 0; ///< of inputs that would cross to another data centre
-    std::vector<backend_server_id> exclude; ///< tried already
+    milliseconds patience{0}; ///< longest time to wait for a rate-limited server
+    bool admitted = false; ///< already admitted by the pool's host, before its stages
+    std::vector<prompt_part> prompt; ///< parts in order; the last one belongs to the request alone
+    data_center_id near; ///< data centre that holds the inputs
+    std::uint64_t nearBytes =
+        0; ///< size of the inputs that would have to be moved to another data centre
+    std::vector<backend_server_id> exclude; ///< servers already tried
     residency allowed;
 };
 
-/// Where a request goes, and when.
+/// The server that a request is sent to, and when.
 struct placed_request
 {
-    server_ptr server; ///< null: there is none for it
-    /// Until its turn there; without a server until there may be room, 0: unknown.
+    server_ptr server; ///< null: no server is available for the request
+    /// Time until the request may be sent to the server. Without a server: time until there may be
+    /// room, 0 if unknown.
     milliseconds wait{0};
-    bool allBounded = false; ///< all servers it may go to bear only so many requests
+    bool allBounded = false; ///< all servers that the request may use are rate-limited
 };
 
-/// Whether a request may go on to its stages.
+/// Whether a request may start its stages.
 struct admission
 {
     bool granted = true;
-    milliseconds comeBack{0}; ///< where it isn't; 0: unknown
+    milliseconds comeBack{0}; ///< time after which to retry if not granted; 0: unknown
     bool allBounded = false; ///< as in `placed_request`
 };
 
-/// Places requests on the servers of pools, model engines above all.
+/// Places requests on the servers of pools, mainly on model engines.
 ///
-/// Knows, for the requests that were placed here, which engine reads which prompt, which streams
-/// run where, and which parts of prompts each engine keeps. A request goes where it costs least,
-/// counted in prompt tokens: what must be read for it, what is to be read before it, the streams
-/// that its reading holds up, and inputs that would cross to another data centre.
+/// For the requests placed by this node, the board tracks the prompts that each engine still has to
+/// read, the streams running on each engine, and the prompt parts cached there. A request goes to
+/// the engine with the lowest cost, in prompt tokens: the uncached tokens of its prompt, the tokens
+/// to be read before them, the streams delayed by reading the prompt, and the inputs that would
+/// have to be moved to another data centre.
 ///
-/// Servers that bear only so many requests get them evenly, at the pace of their bounds. Where all
-/// are bounded, requests wait their turn, and as many are let in as the bounds allow.
+/// Rate-limited servers get requests evenly at the rate of their limits. If all servers are
+/// rate-limited, requests wait for their turn, and only as many are admitted as the limits allow.
 class placement_board
 {
 public:
     placement_board(const clock_source &clock, const server_directory &directory);
 
-    /// Tokens that an engine of a service keeps.
+    /// Sets the number of tokens that an engine of a service can cache.
     void setCapacity(const service_id &service, std::uint64_t tokens);
-    /// Chooses a server. `share`: of what bounded servers of the pool bear, the part that this
-    /// board may use; of others it uses nothing.
+    /// Chooses a server. `share` is the share of the rate limits of the pool's servers that this
+    /// board may use. Rate-limited servers of other pools are never chosen.
     [[nodiscard]] placed_request place(placement_id id, const placement_wish &wish,
                                        double share = 0.0);
-    /// Whether a request may go on to its stages: where it will find no turn, they would be done
-    /// for nothing.
+    /// Returns whether a request may start its stages. Stages are wasted work if no server accepts
+    /// the request afterwards.
     [[nodiscard]] admission admit(const placement_wish &wish, double share);
-    /// The request's prompt is read.
+    /// Called when the prompt of the request has been read.
     void onFirstAnswer(placement_id id);
     void onEnd(placement_id id);
 
     [[nodiscard]] std::size_t open() const { return m_placements.size(); }
 
 private:
-    struct kept_part
+    struct cached_part
     {
         std::uint32_t tokens = 0;
-        steady_time used;
+        steady_time lastUsed;
     };
     struct engine
     {
-        std::unordered_map<std::string, kept_part> parts;
-        std::uint64_t keptTokens = 0;
-        std::uint64_t reading = 0; ///< tokens of prompts that are still to be read
+        std::unordered_map<std::string, cached_part> parts;
+        std::uint64_t cachedTokens = 0;
+        std::uint64_t prefillTokens = 0; ///< prompt tokens that are still to be read
         std::uint32_t streams = 0; ///< requests placed and not ended
     };
     struct placement
     {
         server_start server;
-        std::uint64_t tokens = 0; ///< to be read; 0 once they are
-        steady_time began;
+        std::uint64_t tokens = 0; ///< prompt tokens still to be read; 0 once they have been read
+        steady_time startedAt;
     };
 
-    /// Servers of the pool that haven't been tried.
-    [[nodiscard]] std::vector<server_ptr> untried(const placement_wish &wish) const;
-    /// Those of `inPool` that may get a request now. Where none is left, or all are in doubt, those
-    /// of other pools are as good, if the request may go there.
-    [[nodiscard]] std::vector<server_ptr> candidates(const std::vector<server_ptr> &inPool,
+    /// Returns the servers of the pool that have not been tried.
+    [[nodiscard]] std::vector<server_ptr> untriedServers(const placement_wish &wish) const;
+    /// Returns the servers of `poolServers` that may get a request now. If there are none, or if
+    /// all of them are avoided, returns servers of other pools that the request may use.
+    [[nodiscard]] std::vector<server_ptr> candidates(const std::vector<server_ptr> &poolServers,
                                                      const placement_wish &wish,
                                                      double share) const;
     [[nodiscard]] server_ptr cheapest(const std::vector<server_ptr> &servers,
                                       const placement_wish &wish);
-    /// The server whose next turn comes first, where it comes in time.
-    [[nodiscard]] placed_request nextTurn(const std::vector<server_ptr> &inPool,
-                                          const placement_wish &wish, double share) const;
-    /// What the servers take a second, where all that the request may go to are bounded.
-    [[nodiscard]] std::optional<double> rateOf(const placement_wish &wish, double share) const;
-    [[nodiscard]] milliseconds askAdmission(const placement_wish &wish, double perSecond);
-    /// Takes down what the request costs the server and leaves there.
-    void note(placement_id id, const placement_wish &wish, const server &chosen);
-    [[nodiscard]] double costOf(const server &which, const placement_wish &wish);
-    [[nodiscard]] static std::uint64_t missingTokens(const engine &state,
-                                                     const placement_wish &wish);
-    void keep(engine &state, const placement_wish &wish, std::uint64_t capacity);
-    void forgetLapsed();
+    /// Returns the server that may get a request first, if the wait is within `wish.patience`.
+    [[nodiscard]] placed_request earliestAllowed(const std::vector<server_ptr> &poolServers,
+                                                 const placement_wish &wish, double share) const;
+    /// Returns the total rate limit of the servers if all that the request may use are
+    /// rate-limited.
+    [[nodiscard]] std::optional<double> poolRateLimit(const placement_wish &wish,
+                                                      double share) const;
+    [[nodiscard]] milliseconds tryPoolAdmission(const placement_wish &wish, double perSecond);
+    /// Records the load that the request adds to the server, and the prompt parts cached there.
+    void recordPlacement(placement_id id, const placement_wish &wish, const server &chosen);
+    [[nodiscard]] double costOf(const server &backend, const placement_wish &wish);
+    [[nodiscard]] static std::uint64_t uncachedTokens(const engine &state,
+                                                      const placement_wish &wish);
+    void cacheParts(engine &state, const placement_wish &wish, std::uint64_t capacity);
+    void expirePlacements();
 
     const clock_source &m_clock;
     const server_directory &m_directory;
--- a/src/gateway/placement/pool_admission.h
+++ b/src/gateway/placement/pool_admission.h
@@ -9,10 +9,11 @@
 
 namespace orchidlead::gateway {
 
-/// Lets in as many requests as the servers of a pool take, while each of them names a bound.
+/// Admits as many requests as the servers of a pool can take while all of them are rate-limited.
 ///
-/// The more urgent ranks go first: the others share what those that come leave of the rate. What
-/// can't be let in is told at once, before anything is spent on it.
+/// More urgent ranks go first; the others share the rate that the arrivals of more urgent ranks
+/// leave. A request that can't be admitted is refused at once, before any resources are spent on
+/// it.
 class pool_admission
 {
 public:
@@ -20,23 +21,25 @@
         : m_clock(clock)
     { }
 
-    /// One request of the rank comes, and the servers take so many a second, above 0. Zero: it is
-    /// let in; else when it may come back.
-    [[nodiscard]] milliseconds ask(const stage_rank &rank, double perSecond);
+    /// Counts an arriving request of this rank; the servers take `perSecond` requests per second,
+    /// greater than 0. Returns zero if the request is admitted, or else the time after which to
+    /// retry.
+    [[nodiscard]] milliseconds tryAdmit(const stage_rank &rank, double perSecond);
 
 private:
-    struct rank_account
+    struct rank_state
     {
         decaying_rate arrivals;
         decaying_rate refusals;
-        double waiting = 0.0; ///< let in and not worked off yet, at the rank's part of the rate
-        steady_time at;
+        double admittedBacklog =
+            0.0; ///< admitted requests not yet worked off at the rank's share of the rate
+        steady_time updatedAt;
     };
 
-    [[nodiscard]] double rateOf(const stage_rank &rank, double perSecond) const;
+    [[nodiscard]] double rateForRank(const stage_rank &rank, double perSecond) const;
 
     const clock_source &m_clock;
-    std::map<stage_rank, rank_account> m_ranks;
+    std::map<stage_rank, rank_state> m_ranks;
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/placement/prompt_home.h
+++ b/src/gateway/placement/prompt_home.h
@@ -8,11 +8,13 @@
 
 namespace orchidlead::gateway {
 
-/// Gives the data centre whose engines are to keep what a prompt shares with others, the same on
-/// all nodes that know the same engines; nothing where the prompt shares too little to matter.
+/// Returns the data centre whose engines should cache the shared part of a prompt, or nothing if
+/// the shared part is too small to matter. All nodes that know the same engines get the same
+/// result.
 ///
-/// Without one, each data centre whose clients use a shared part reads it again. Data centres get
-/// prompts by their number of engines, and an engine that comes or goes moves only its own.
+/// Without a home, each data centre whose clients use a shared part would read it again. Data
+/// centres get prompts in proportion to their engines, and an engine that is added or removed moves
+/// only its own prompts.
 [[nodiscard]] std::optional<data_center_id> homeOf(const std::vector<prompt_part> &prompt,
                                                    const std::vector<server_ptr> &engines);
 
--- a/src/gateway/placement/request_placer.cpp
+++ b/src/gateway/placement/request_placer.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// A host answers within a round trip, 2 ms between data centres; beyond this it is busy or away,
-// and the request's time matters more than the better choice.
-constexpr milliseconds HostPatience{60};
+// A host answers within a round trip, 2 ms between data centres. A host that takes longer than this
+// is busy or unreachable, and the time of the request matters more than the better choice.
+constexpr milliseconds HostTimeout{60};
 // The same for a host in another region, where a round trip takes 40 ms.
-constexpr milliseconds FarHostPatience{140};
-// With so many engines a data centre reads the prompts that are shared by itself; with fewer, parts
-// that are read in each of them cost more than inputs that cross.
+constexpr milliseconds OtherRegionHostTimeout{140};
+// A data centre with at least this many engines reads shared prompts by itself. With fewer engines,
+// reading the parts in each data centre costs more than moving inputs.
 constexpr pool_width_limits EnginePoolWidths{8, 6};
-// How long a host's word that all servers of a pool are bounded is believed: while requests come,
-// each answer of the host renews it or takes it back.
-constexpr milliseconds BoundedMemory{2000};
+// How long a host's report that all servers of a pool are rate-limited is valid. While there are
+// requests, each reply of the host renews or clears it.
+constexpr milliseconds AllBoundedLifetime{2000};
 
 } // namespace
 
@@ -51,23 +51,23 @@
     const auto host = m_peers.hostOf(pool);
     auto link = host == m_peers.self() ? nullptr : m_peers.linkTo(host);
     if (link)
-        tellLimits(pool, link);
+        sendRateLimits(pool, link);
     return link;
 }
 
-milliseconds request_placer::patienceWith(const pool_key &pool)
+milliseconds request_placer::hostTimeout(const pool_key &pool)
 {
     const auto known = m_peers.view().find(m_peers.hostOf(pool));
-    return known && known->vm.region != m_peers.region() ? FarHostPatience : HostPatience;
+    return known && known->vm.region != m_peers.region() ? OtherRegionHostTimeout : HostTimeout;
 }
 
-// Another host than before knows nothing of what answers told this node.
-void request_placer::tellLimits(const pool_key &pool, const link_ptr &link)
+// A new host does not know the rate limits that responses reported to this node.
+void request_placer::sendRateLimits(const pool_key &pool, const link_ptr &link)
 {
-    auto &told = m_toldHosts[pool];
-    if (told.link == link && told.changes == m_limitChanges)
+    auto &recipient = m_limitsSentTo[pool];
+    if (recipient.link == link && recipient.changes == m_limitChanges)
         return;
-    told = {link, m_limitChanges};
+    recipient = {link, m_limitChanges};
     rate_limits_frame frame;
     const auto now = m_loop.now();
     for (const auto &each : m_directory.usable(pool)) {
@@ -86,10 +86,10 @@
     return found != m_allBounded.end() && m_loop.now() < found->second;
 }
 
-void request_placer::note(const pool_key &pool, bool allBounded)
+void request_placer::recordAllBounded(const pool_key &pool, bool allBounded)
 {
     if (allBounded)
-        m_allBounded[pool] = m_loop.now() + BoundedMemory;
+        m_allBounded[pool] = m_loop.now() + AllBoundedLifetime;
     else
         m_allBounded.erase(pool);
 }
@@ -109,7 +109,7 @@
         return id;
     }
     entry.link->send(admission_request{id, entry.wish});
-    entry.timer = m_loop.callAfter(patienceWith(entry.wish.pool), [this, id] {
+    entry.timer = m_loop.callAfter(hostTimeout(entry.wish.pool), [this, id] {
         if (const auto found = m_admissions.find(id); found != m_admissions.end()) {
             found->second.timer = 0;
             onAdmission(id, {.allBounded = needsAdmission(found->second.wish.pool)});
@@ -118,57 +118,57 @@
     return id;
 }
 
-void request_placer::onAdmission(placement_id id, const admission &told)
+void request_placer::onAdmission(placement_id id, const admission &decision)
 {
     auto found = m_admissions.extract(id);
     if (found.empty())
         return;
     const auto &entry = found.mapped();
     m_loop.cancelTimer(entry.timer);
-    note(entry.wish.pool, told.allBounded);
-    entry.answer(told);
+    recordAllBounded(entry.wish.pool, decision.allBounded);
+    entry.answer(decision);
 }
 
-placement_id request_placer::place(placement_wish wish, handler placed)
+placement_id request_placer::place(placement_wish wish, placement_handler placed)
 {
     const auto id = ++m_lastId;
-    auto &entry = m_requests[id];
+    auto &entry = m_pending[id];
     entry.link = linkToHost(wish.pool);
     entry.wish = std::move(wish);
     entry.placed = std::move(placed);
     if (!entry.link) {
         m_loop.post([this, id] {
-            if (const auto found = m_requests.find(id); found != m_requests.end())
-                placeHere(id, found->second);
+            if (const auto found = m_pending.find(id); found != m_pending.end())
+                placeLocally(id, found->second);
         });
         return id;
     }
     entry.link->send(place_frame{id, entry.wish});
-    entry.timer = m_loop.callAfter(patienceWith(entry.wish.pool), [this, id] {
-        const auto found = m_requests.find(id);
-        if (found == m_requests.end())
+    entry.timer = m_loop.callAfter(hostTimeout(entry.wish.pool), [this, id] {
+        const auto found = m_pending.find(id);
+        if (found == m_pending.end())
             return;
         found->second.timer = 0;
-        placeHere(id, found->second);
+        placeLocally(id, found->second);
     });
     return id;
 }
 
-void request_placer::placeHere(placement_id id, request &entry)
+void request_placer::placeLocally(placement_id id, pending_placement &entry)
 {
     if (!entry.placed)
         return;
     if (const auto link = std::exchange(entry.link, nullptr))
         link->send(progress_frame{id, progress_frame::what::Ended});
-    hand(entry, placeOnBoard(id, entry.wish));
+    complete(entry, placeOnBoard(id, entry.wish));
 }
 
-// The handler may end the request, and with it the entry.
-void request_placer::hand(request &entry, const placed_request &placed)
+// The handler may end the request and thereby remove its entry.
+void request_placer::complete(pending_placement &entry, const placed_request &placed)
 {
-    note(entry.wish.pool, placed.allBounded);
-    const auto tell = std::exchange(entry.placed, {});
-    tell(placed);
+    recordAllBounded(entry.wish.pool, placed.allBounded);
+    const auto callback = std::exchange(entry.placed, {});
+    callback(placed);
 }
 
 placed_request request_placer::placeOnBoard(placement_id id, const placement_wish &wish)
@@ -181,39 +181,40 @@
     return m_board.admit(wish, m_peers.rateShare(wish.pool));
 }
 
-// The host may know a server that this node doesn't know yet, or knows to be gone.
+// The host may choose a server that this node does not know yet, or knows to be gone.
 void request_placer::onPlaced(const placed_frame &frame)
 {
-    const auto found = m_requests.find(frame.id);
-    if (found == m_requests.end() || !found->second.placed)
+    const auto found = m_pending.find(frame.id);
+    if (found == m_pending.end() || !found->second.placed)
         return;
     auto &entry = found->second;
     m_loop.cancelTimer(std::exchange(entry.timer, 0));
     const auto chosen = m_directory.find(frame.server);
     const bool refused = frame.server.empty() && frame.allBounded;
     if (!refused && (!chosen || !chosen->takes(m_loop.now()))) {
-        placeHere(frame.id, entry);
+        placeLocally(frame.id, entry);
         return;
     }
-    hand(entry, {chosen, frame.wait, frame.allBounded});
+    complete(entry, {chosen, frame.wait, frame.allBounded});
 }
 
-void request_placer::onSignals(placement_id id, const server_signals &told)
+void request_placer::onSignals(placement_id id, const server_signals &reported)
 {
-    if (const auto found = m_requests.find(id); found != m_requests.end())
-        found->second.signals = told;
+    if (const auto found = m_pending.find(id); found != m_pending.end())
+        found->second.signals = reported;
 }
 
-// What a server told is new to the host once.
-void request_placer::sendProgress(placement_id id, request &entry, progress_frame::what kind)
+// Signals are sent to the host only once.
+void request_placer::sendProgress(placement_id id, pending_placement &entry,
+                                  progress_frame::what kind)
 {
     entry.link->send(progress_frame{id, kind, std::exchange(entry.signals, NoSignals)});
 }
 
 void request_placer::onFirstAnswer(placement_id id)
 {
-    const auto found = m_requests.find(id);
-    if (found == m_requests.end())
+    const auto found = m_pending.find(id);
+    if (found == m_pending.end())
         return;
     if (found->second.link)
         sendProgress(id, found->second, progress_frame::what::FirstAnswer);
@@ -223,23 +224,23 @@
 
 void request_placer::onEnd(placement_id id)
 {
-    if (const auto asked = m_admissions.extract(id); !asked.empty())
-        m_loop.cancelTimer(asked.mapped().timer);
-    const auto found = m_requests.find(id);
-    if (found == m_requests.end())
+    if (const auto unanswered = m_admissions.extract(id); !unanswered.empty())
+        m_loop.cancelTimer(unanswered.mapped().timer);
+    const auto found = m_pending.find(id);
+    if (found == m_pending.end())
         return;
     m_loop.cancelTimer(found->second.timer);
     if (found->second.link)
         sendProgress(id, found->second, progress_frame::what::Ended);
     else
         m_board.onEnd(id);
-    m_requests.erase(found);
+    m_pending.erase(found);
 }
 
 void request_placer::onFrame(const link_ptr &link, const peer_frame &frame)
 {
     if (const auto *wish = std::get_if<place_frame>(&frame))
-        onWish(link, *wish);
+        onPlaceRequest(link, *wish);
     else if (const auto *placed = std::get_if<placed_frame>(&frame))
         onPlaced(*placed);
     else if (const auto *progress = std::get_if<progress_frame>(&frame))
@@ -252,7 +253,7 @@
         onRateLimits(*limits);
 }
 
-void request_placer::onWish(const link_ptr &link, const place_frame &frame)
+void request_placer::onPlaceRequest(const link_ptr &link, const place_frame &frame)
 {
     const auto id = ++m_lastId;
     const auto placed = placeOnBoard(id, frame.wish);
@@ -288,28 +289,28 @@
     if (server && server->record.start() == found->second.server)
         m_directory.onSignals(*server, frame.signals);
     if (frame.kind == progress_frame::what::FirstAnswer) {
-        m_board.onFirstAnswer(found->second.ours);
+        m_board.onFirstAnswer(found->second.localId);
         return;
     }
-    m_board.onEnd(found->second.ours);
+    m_board.onEnd(found->second.localId);
     hosted->second.erase(found);
 }
 
 void request_placer::onLinkClosed(const link_ptr &link)
 {
-    std::erase_if(m_toldHosts, [&](const auto &entry) { return entry.second.link == link; });
+    std::erase_if(m_limitsSentTo, [&](const auto &entry) { return entry.second.link == link; });
     if (const auto found = m_hosted.find(link); found != m_hosted.end()) {
-        for (const auto &[theirs, each] : found->second)
-            m_board.onEnd(each.ours);
+        for (const auto &[remoteId, each] : found->second)
+            m_board.onEnd(each.localId);
         m_hosted.erase(found);
     }
-    goOnWithout(link);
+    handleHostLoss(link);
 }
 
-void request_placer::goOnWithout(const link_ptr &link)
+void request_placer::handleHostLoss(const link_ptr &link)
 {
     std::vector<placement_id> waiting;
-    for (auto &[id, entry] : m_requests) {
+    for (auto &[id, entry] : m_pending) {
         if (entry.link != link)
             continue;
         entry.link = nullptr;
@@ -317,15 +318,15 @@
             waiting.push_back(id);
     }
     for (const auto id : waiting) {
-        if (const auto found = m_requests.find(id); found != m_requests.end())
-            placeHere(id, found->second);
+        if (const auto found = m_pending.find(id); found != m_pending.end())
+            placeLocally(id, found->second);
     }
-    std::vector<placement_id> asked;
+    std::vector<placement_id> admissionIds;
     for (const auto &[id, entry] : m_admissions) {
         if (entry.link == link)
-            asked.push_back(id);
+            admissionIds.push_back(id);
     }
-    for (const auto id : asked)
+    for (const auto id : admissionIds)
         onAdmission(id, {});
 }
 
--- a/tests/gateway/placement_board_test.cpp
+++ b/tests/gateway/placement_board_test.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("requests that share parts go to the engine that keeps them")
+TEST_CASE("requests that share prompt parts go to the engine that caches them")
 {
     world w;
     const auto first = w.board.place(1, makeWish({{"shared", 2000}, {"own1", 500}})).server;
@@ -45,18 +45,19 @@
     CHECK(w.board.place(2, makeWish({{"shared", 2000}, {"own2", 500}})).server == first);
 }
 
-TEST_CASE("a part counts as kept only where all parts before it are")
+TEST_CASE("a part counts as cached only if all parts before it are cached")
 {
     world w;
     const auto first = w.board.place(1, makeWish({{"a", 100}, {"b", 3000}, {"own", 10}})).server;
     w.board.onEnd(1);
-    // The other engine has nothing: reading all costs as much there, and it has no streams.
+    // The other engine has no cached parts and no streams, so reading the whole prompt costs the
+    // same there.
     auto busy = makeWish({{"x", 100}, {"b", 3000}, {"own", 10}});
     (void)w.board.place(2, makeWish({{"a", 100}, {"b", 3000}, {"own", 10}}));
     CHECK(w.board.place(3, busy).server != first);
 }
 
-TEST_CASE("prompts that are still to be read send others elsewhere")
+TEST_CASE("unread prompts make an engine more expensive for other requests")
 {
     world w;
     const auto first = w.board.place(1, makeWish({{"p", 5000}})).server;
@@ -65,7 +66,7 @@
     CHECK(w.board.place(3, makeWish({{"r", 100}})).server == first);
 }
 
-TEST_CASE("large inputs draw a request to their data centre")
+TEST_CASE("a request with large inputs goes to their data centre")
 {
     world w;
     auto wish = makeWish({{"p", 500}});
@@ -74,7 +75,7 @@
     CHECK(w.board.place(1, wish).server->record.id.value == "e2");
 }
 
-TEST_CASE("engines that were tried, leave or are gone aren't chosen")
+TEST_CASE("engines that were already tried or removed are not chosen")
 {
     world w;
     auto wish = makeWish({{"p", 500}});
@@ -84,7 +85,7 @@
     CHECK(w.board.place(2, wish).server == nullptr);
 }
 
-TEST_CASE("the end of a request is counted once, and unknown ones are ignored")
+TEST_CASE("the end of a request is counted once, and unknown ids are ignored")
 {
     world w;
     (void)w.board.place(1, makeWish({{"p", 500}}));
@@ -94,7 +95,7 @@
     CHECK(w.board.open() == 0);
 }
 
-TEST_CASE("placements whose end was never told are forgotten")
+TEST_CASE("placements whose end was not reported expire")
 {
     world w;
     (void)w.board.place(1, makeWish({{"p", 500}}));
@@ -103,7 +104,7 @@
     CHECK(w.board.open() == 1);
 }
 
-TEST_CASE("the least recently used parts yield where an engine keeps no more")
+TEST_CASE("the least recently used parts are evicted when an engine is full")
 {
     world w;
     w.directory.remove(backend_server_id("e2"));
@@ -117,31 +118,31 @@
     record.id = backend_server_id("e3");
     record.service = service_id("s");
     w.directory.put(record);
-    // Nothing of "old" is left at e1, so a stream there is enough to prefer e3.
+    // No part of "old" is left at e1, so one stream there is enough to prefer e3.
     (void)w.board.place(3, makeWish({{"new", 600}, {"own", 1}}));
     CHECK(w.board.place(4, makeWish({{"old", 600}, {"own", 1}})).server->record.id.value == "e3");
 }
 
-// Servers that bear only so many requests from all nodes together.
+// Servers with a rate limit for the requests of all nodes together.
 
-TEST_CASE("a bounded server gets requests at its pace, and the others the rest")
+TEST_CASE("a rate-limited server gets requests at its limit, and other servers get the rest")
 {
     world w;
     w.directory.find(backend_server_id("e1"))->rateLimit = 2.0;
-    int onBounded = 0;
+    int sentToLimited = 0;
     for (int i = 0; i < 200; ++i) {
         const auto placed = w.board.place(i, makeWish({}), 1.0);
         REQUIRE(placed.server);
         CHECK(placed.wait == milliseconds{0});
         CHECK_FALSE(placed.allBounded);
-        onBounded += placed.server->record.id.value == "e1" ? 1 : 0;
+        sentToLimited += placed.server->record.id.value == "e1" ? 1 : 0;
         w.clock.advance(milliseconds{50});
     }
-    CHECK(onBounded >= 18);
-    CHECK(onBounded <= 21);
+    CHECK(sentToLimited >= 18);
+    CHECK(sentToLimited <= 21);
 }
 
-TEST_CASE("where all are bounded a request waits its turn if that is in time")
+TEST_CASE("if all servers are rate-limited, a request waits for its turn within its maximum wait")
 {
     world w;
     for (const auto *id : {"e1", "e2"})
@@ -164,7 +165,7 @@
     CHECK(w.board.open() == 4);
 }
 
-TEST_CASE("a board without a share of the bounds places nothing on bounded servers")
+TEST_CASE("a board without a share of the limits places nothing on rate-limited servers")
 {
     world w;
     for (const auto *id : {"e1", "e2"})
--- a/tests/gateway/pool_admission_test.cpp
+++ b/tests/gateway/pool_admission_test.cpp
@@ -4,77 +4,77 @@
 
 #include <map>
 
-/// What is let in where all servers of a pool are bounded. No network: requests come evenly, and
-/// what the servers take is the sum of their bounds.
+/// Requests admitted while all servers of a pool are rate-limited. There is no network; requests
+/// arrive evenly, and the servers take the sum of their limits.
 using namespace orchidlead;
 using namespace orchidlead::gateway;
 
 namespace {
 
 constexpr stage_rank Urgent{0, 0};
-constexpr stage_rank Calm{5, 0};
-constexpr double PerSecond = 18.0; ///< eighteen servers that take one a second each
+constexpr stage_rank LessUrgent{5, 0};
+constexpr double PerSecond = 18.0; ///< eighteen servers that take one request per second each
 constexpr milliseconds Step{5};
 
 struct counts
 {
     int asked = 0;
-    int let = 0;
-    milliseconds longestAway{0};
+    int admitted = 0;
+    milliseconds maxRetryAfter{0};
 };
 
-/// Lets requests of some ranks come, each so many a second, for so long.
-std::map<stage_rank, counts> play(const std::map<stage_rank, double> &rates, milliseconds time)
+/// Simulates requests of several ranks, each with a rate per second, for this time.
+std::map<stage_rank, counts> simulate(const std::map<stage_rank, double> &rates, milliseconds time)
 {
     manual_clock clock;
     pool_admission pool(clock);
-    std::map<stage_rank, counts> seen;
+    std::map<stage_rank, counts> results;
     std::map<stage_rank, double> due;
     for (milliseconds passed{0}; passed < time; passed += Step) {
         for (const auto &[rank, rate] : rates) {
             due[rank] += rate * std::chrono::duration<double>(Step).count();
             for (; due[rank] >= 1.0; due[rank] -= 1.0) {
-                const auto away = pool.ask(rank, PerSecond);
-                auto &count = seen[rank];
+                const auto retryAfter = pool.tryAdmit(rank, PerSecond);
+                auto &count = results[rank];
                 ++count.asked;
-                count.let += away == milliseconds{0} ? 1 : 0;
-                count.longestAway = std::max(count.longestAway, away);
+                count.admitted += retryAfter == milliseconds{0} ? 1 : 0;
+                count.maxRetryAfter = std::max(count.maxRetryAfter, retryAfter);
             }
         }
         clock.advance(Step);
     }
-    return seen;
+    return results;
 }
 
 } // namespace
 
-TEST_CASE("as many are let in as the servers take, and the others are told when to come back")
+TEST_CASE("the servers' rate is admitted, and other requests get a retry time")
 {
-    const auto seen = play({{Urgent, 45.0}}, std::chrono::seconds{20}).at(Urgent);
-    CHECK(seen.let >= 18 * 20);
-    CHECK(seen.let <= 18 * 20 + 8);
-    CHECK(seen.longestAway > milliseconds{500});
-    CHECK(seen.longestAway <= milliseconds{5000});
+    const auto results = simulate({{Urgent, 45.0}}, std::chrono::seconds{20}).at(Urgent);
+    CHECK(results.admitted >= 18 * 20);
+    CHECK(results.admitted <= 18 * 20 + 8);
+    CHECK(results.maxRetryAfter > milliseconds{500});
+    CHECK(results.maxRetryAfter <= milliseconds{5000});
 }
 
-TEST_CASE("where fewer come than the servers take, all are let in")
+TEST_CASE("all requests are admitted below the servers' rate")
 {
-    const auto seen = play({{Urgent, 8.0}, {Calm, 8.0}}, std::chrono::seconds{20});
-    CHECK(seen.at(Urgent).let == seen.at(Urgent).asked);
-    CHECK(seen.at(Calm).let == seen.at(Calm).asked);
+    const auto results = simulate({{Urgent, 8.0}, {LessUrgent, 8.0}}, std::chrono::seconds{20});
+    CHECK(results.at(Urgent).admitted == results.at(Urgent).asked);
+    CHECK(results.at(LessUrgent).admitted == results.at(LessUrgent).asked);
 }
 
-TEST_CASE("the more urgent go first, and the others get what these leave")
+TEST_CASE("more urgent requests go first, and others get the remaining rate")
 {
-    const auto seen = play({{Urgent, 12.0}, {Calm, 33.0}}, std::chrono::seconds{20});
-    CHECK(seen.at(Urgent).let == seen.at(Urgent).asked);
-    CHECK(seen.at(Calm).let >= 5 * 20);
-    CHECK(seen.at(Calm).let <= 8 * 20);
+    const auto results = simulate({{Urgent, 12.0}, {LessUrgent, 33.0}}, std::chrono::seconds{20});
+    CHECK(results.at(Urgent).admitted == results.at(Urgent).asked);
+    CHECK(results.at(LessUrgent).admitted >= 5 * 20);
+    CHECK(results.at(LessUrgent).admitted <= 8 * 20);
 }
 
-TEST_CASE("nobody is left out, however many more urgent ones come")
+TEST_CASE("less urgent requests get a minimum share under any urgent load")
 {
-    const auto seen = play({{Urgent, 60.0}, {Calm, 20.0}}, std::chrono::seconds{20});
-    CHECK(seen.at(Calm).let >= 15);
-    CHECK(seen.at(Calm).let <= 30);
+    const auto results = simulate({{Urgent, 60.0}, {LessUrgent, 20.0}}, std::chrono::seconds{20});
+    CHECK(results.at(LessUrgent).admitted >= 15);
+    CHECK(results.at(LessUrgent).admitted <= 30);
 }
--- a/tests/gateway/prompt_home_test.cpp
+++ b/tests/gateway/prompt_home_test.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-TEST_CASE("data centres get prompts by their number of engines")
+TEST_CASE("data centres get prompts in proportion to their engines")
 {
     const auto engines = makeEngines(9, 3);
     std::map<std::string, int> homes;
@@ -54,7 +54,7 @@
     CHECK(homes["a"] < Prompts * 8 / 10);
 }
 
-TEST_CASE("an engine that goes moves only the prompts that it stood for")
+TEST_CASE("removing an engine moves only the prompts assigned to it")
 {
     const auto engines = makeEngines(6, 6);
     auto fewer = engines;
@@ -68,7 +68,7 @@
     CHECK(moved < Prompts / 10);
 }
 
-TEST_CASE("a prompt that shares little, or nothing, has no home; nor is there one without engines")
+TEST_CASE("a prompt has no home if it shares few or no tokens, or if there are no engines")
 {
     const auto engines = makeEngines(2, 2);
     CHECK_FALSE(homeOf(makePrompt("s", 900), engines));
