--- a/bench/fleet/peer_fleet.cpp
+++ b/bench/fleet/peer_fleet.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t FirstContacts = 3; ///< that the settings name at most
-constexpr milliseconds TickTime{100};
+constexpr std::size_t MaxFirstContacts = 3; ///< first contacts in the settings of each node
+constexpr milliseconds TickInterval{100};
 constexpr std::size_t DatagramHeaderBytes = 28;
 constexpr std::size_t LinkHeaderBytes = 40;
 constexpr std::uint16_t FirstPort = 1000;
@@ -27,7 +27,7 @@
         identity.vm = vm_id("edge-" + identity.dataCenter.value + "-" + std::to_string(i));
         identity.region = region_id("r");
         identity.address = {"10.0.0.1", static_cast<std::uint16_t>(FirstPort + i)};
-        if (contacts.size() < FirstContacts)
+        if (contacts.size() < MaxFirstContacts)
             contacts.push_back(identity.address);
     }
     for (auto &each : m_nodes)
@@ -90,23 +90,24 @@
         target.identity.incarnation = ++target.starts * m_nodes.size() + each.node;
         target.view = std::make_unique<peer_view>(m_clock, target.identity,
                                                   [](const pool_key &, const vm_id &) {});
-        target.port = std::make_unique<news_port>(news_port{*this, each.node});
-        target.news = std::make_unique<reach_relay<news_port>>(*target.port, m_clock);
+        target.port = std::make_unique<broadcast_port>(broadcast_port{*this, each.node});
+        target.relay =
+            std::make_unique<lost_data_center_relay<broadcast_port>>(*target.port, m_clock);
         target.lost.clear();
     }
     if (!target.view || (each.start != 0 && each.start != target.starts))
         return;
-    if (each.news) {
-        target.news->onFrame(*each.news);
+    if (each.notice) {
+        target.relay->onFrame(*each.notice);
         return;
     }
     if (!each.bytes.empty()) {
         target.view->onDatagram(m_nodes[each.from].identity.address, each.bytes, actions);
     } else {
         target.view->tick(actions);
-        followReach(target, actions);
+        updateReachability(target, actions);
         event next;
-        next.at = m_clock.now() + TickTime;
+        next.at = m_clock.now() + TickInterval;
         next.node = each.node;
         next.start = target.starts;
         push(std::move(next));
@@ -142,8 +143,8 @@
 {
     m_nodes[from].bytesSent += bytes;
     if (dataCenterOf(from) != dataCenterOf(to))
-        m_nodes[from].bytesSentFar += bytes;
-    if (m_passes && !m_passes(from, to))
+        m_nodes[from].bytesSentToOtherDataCenters += bytes;
+    if (m_canDeliver && !m_canDeliver(from, to))
         return;
     arrival.at = m_clock.now() + draw(milliseconds{1}, milliseconds{4});
     arrival.node = to;
@@ -151,26 +152,26 @@
     push(std::move(arrival));
 }
 
-void peer_fleet::sendNews(std::size_t from, const vm_id &to, const peer_frame &frame)
+void peer_fleet::sendBroadcast(std::size_t from, const vm_id &to, const peer_frame &frame)
 {
     const auto known = m_nodes[from].view->find(to);
     if (!known)
         return;
     event arrival;
-    arrival.news = frame;
+    arrival.notice = frame;
     deliver(from, static_cast<std::size_t>(known->vm.peerAddress.port - FirstPort),
             encodeFrame(frame).size() + LinkHeaderBytes, std::move(arrival));
 }
 
-void peer_fleet::followReach(fleet_node &node, membership_actions &actions)
+void peer_fleet::updateReachability(fleet_node &node, membership_actions &actions)
 {
-    for (const auto &each : node.view->followReach(actions)) {
-        if (each.step == reach_step::Regained)
+    for (const auto &each : node.view->updateReachability(actions)) {
+        if (each.type == reachability_event_type::Regained)
             node.lost.erase(each.dataCenter);
-        if (each.step != reach_step::Lost)
+        if (each.type != reachability_event_type::Lost)
             continue;
         node.lost.insert(each.dataCenter);
-        node.news->onLost(each.dataCenter);
+        node.relay->onLost(each.dataCenter);
     }
 }
 
@@ -208,11 +209,11 @@
     return std::ranges::max_element(m_nodes, {}, &fleet_node::bytesSent)->bytesSent;
 }
 
-std::size_t peer_fleet::meanOf(std::size_t fleet_node::*figure) const
+std::size_t peer_fleet::meanOf(std::size_t fleet_node::*counter) const
 {
     std::size_t sum = 0;
     for (const auto &each : m_nodes)
-        sum += each.*figure;
+        sum += each.*counter;
     return sum / m_nodes.size();
 }
 
@@ -223,7 +224,7 @@
 
 std::size_t peer_fleet::meanBytesSentFar() const
 {
-    return meanOf(&fleet_node::bytesSentFar);
+    return meanOf(&fleet_node::bytesSentToOtherDataCenters);
 }
 
 void peer_fleet::cutOff(const std::optional<data_center_id> &dataCenter)
@@ -242,7 +243,7 @@
     m_bytesByKind.clear();
     for (auto &each : m_nodes) {
         each.bytesSent = 0;
-        each.bytesSentFar = 0;
+        each.bytesSentToOtherDataCenters = 0;
     }
 }
 
--- a/bench/fleet/peer_fleet.h
+++ b/bench/fleet/peer_fleet.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/membership/gossip_message.h"
+#include "gateway/peers/lost_data_center_relay.h"
 #include "gateway/peers/peer_view.h"
-#include "gateway/peers/reach_relay.h"
 
 #include <cstddef>
 #include <functional>
@@ -18,32 +18,32 @@
 
 namespace orchidlead::gateway {
 
-/// Many peer views on a simulated network, one clock: what they send each other arrives 1 to 4 ms
-/// later, and nodes that are down neither send nor hear. News of lost data centres travel, too.
+/// Simulates many peer views on one network and one clock, with broadcasts of lost data centres.
+/// Messages arrive after 1 to 4 ms. Nodes that are down neither send nor receive.
 class peer_fleet
 {
 public:
     peer_fleet(std::size_t nodes, std::size_t dataCenters, std::uint32_t seed);
 
-    /// What a node can do, in thousandths of a core; counts from its next start on.
+    /// Sets the capacity of a node in thousandths of a core, from its next start on.
     void setCapacity(std::size_t node, std::uint32_t capacity)
     {
         m_nodes[node].identity.capacity = capacity;
     }
-    /// Starts a new process of each of these nodes at random within this time.
+    /// Starts a new process of each of these nodes, at random times within `within`.
     void start(const std::vector<std::size_t> &nodes, milliseconds within);
     void startAll(milliseconds within);
     void kill(std::size_t node) { m_nodes[node].view.reset(); }
     void killAll();
-    /// From now on datagrams pass only where `passes` says so; none: all do.
-    void cut(std::function<bool(std::size_t from, std::size_t to)> passes)
+    /// Delivers messages only where `canDeliver` returns true; all messages if it is empty.
+    void cut(std::function<bool(std::size_t from, std::size_t to)> canDeliver)
     {
-        m_passes = std::move(passes);
+        m_canDeliver = std::move(canDeliver);
     }
-    /// Lets time pass.
+    /// Advances the simulation by this time.
     void run(milliseconds time);
-    /// Runs until every running node believes all running nodes alive and nobody else; gives the
-    /// time it took, or `limit`.
+    /// Runs until every running node considers exactly the running nodes alive. Returns the time
+    /// this took, or `limit`.
     milliseconds runUntilAgreed(milliseconds limit);
 
     [[nodiscard]] const clock_source &clock() const { return m_clock; }
@@ -56,27 +56,29 @@
     [[nodiscard]] bool agreed() const;
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
     [[nodiscard]] peer_view &view(std::size_t node) { return *m_nodes[node].view; }
-    /// Most bytes that a node sent since the last call of `forgetTraffic`, headers included.
+    /// Returns the highest number of bytes that one node sent since the last call of
+    /// `forgetTraffic`, headers included.
     [[nodiscard]] std::size_t mostBytesSent() const;
     [[nodiscard]] std::size_t meanBytesSent() const;
-    /// The same of bytes that went to other data centres.
+    /// Returns the mean number of bytes that a node sent to other data centres in that time.
     [[nodiscard]] std::size_t meanBytesSentFar() const;
-    /// From now on bytes are counted by kind of datagram, too, which takes reading each of them.
+    /// Also counts bytes by kind of datagram from now on, which takes decoding each datagram.
     void countKinds() { m_countsKinds = true; }
-    /// What all nodes sent since the last call of `forgetTraffic`, by kind of datagram.
+    /// Returns the bytes that all nodes sent since the last call of `forgetTraffic`, by kind of
+    /// datagram.
     [[nodiscard]] const std::map<gossip_kind, std::size_t> &bytesByKind() const
     {
         return m_bytesByKind;
     }
     void forgetTraffic();
-    /// Cuts a data centre off from all others, or with none ends the cut.
+    /// Partitions a data centre from all others; an empty argument heals the partition.
     void cutOff(const std::optional<data_center_id> &dataCenter);
-    /// How many of the running nodes elsewhere have lost a data centre.
+    /// Returns the number of running nodes that consider a data centre lost.
     [[nodiscard]] std::size_t nodesThatLost(const data_center_id &dataCenter) const;
 
 private:
-    /// A node's way to the others for news.
-    struct news_port
+    /// The network as the broadcast relay of one node uses it.
+    struct broadcast_port
     {
         peer_fleet &fleet;
         std::size_t node;
@@ -85,30 +87,33 @@
         {
             return fleet.view(node).newsReceivers();
         }
-        [[nodiscard]] bool relaysNews() { return fleet.view(node).relaysNews(); }
+        [[nodiscard]] bool isBroadcastRelay() { return fleet.view(node).isBroadcastRelay(); }
         void onUse(const data_center_id &which) { fleet.view(node).onUse(which); }
-        void send(const vm_id &to, const peer_frame &frame) { fleet.sendNews(node, to, frame); }
+        void send(const vm_id &to, const peer_frame &frame)
+        {
+            fleet.sendBroadcast(node, to, frame);
+        }
     };
     struct fleet_node
     {
         peer_identity identity;
         std::unique_ptr<peer_view> view;
-        std::unique_ptr<news_port> port;
-        std::unique_ptr<reach_relay<news_port>> news;
+        std::unique_ptr<broadcast_port> port;
+        std::unique_ptr<lost_data_center_relay<broadcast_port>> relay;
         std::set<data_center_id> lost;
         std::size_t bytesSent = 0;
-        std::size_t bytesSentFar = 0; ///< of these, to other data centres
+        std::size_t bytesSentToOtherDataCenters = 0; ///< included in `bytesSent`
         std::uint64_t starts = 0;
     };
     struct event
     {
         steady_time at;
-        std::uint64_t order = 0; ///< events of one moment happen in the order they were made
+        std::uint64_t order = 0; ///< events of the same time are handled in order of creation
         std::size_t node = 0;
-        std::uint64_t start = 0; ///< of the process for which it is meant; 0: whichever runs
+        std::uint64_t start = 0; ///< number of the process the event is for; 0: any
         std::size_t from = 0;
-        std::string bytes; ///< empty: a tick, or news
-        std::optional<peer_frame> news;
+        std::string bytes; ///< of a datagram; empty: a start, a tick or a broadcast
+        std::optional<peer_frame> notice; ///< a broadcast
         bool starts = false;
         friend bool operator>(const event &left, const event &right)
         {
@@ -116,12 +121,12 @@
         }
     };
 
-    [[nodiscard]] std::size_t meanOf(std::size_t fleet_node::*figure) const;
+    [[nodiscard]] std::size_t meanOf(std::size_t fleet_node::*counter) const;
     void handle(const event &each);
     void carryOut(std::size_t from, const membership_actions &actions);
-    void sendNews(std::size_t from, const vm_id &to, const peer_frame &frame);
-    void followReach(fleet_node &node, membership_actions &actions);
-    /// Counts what a node sends and has it arrive, where nothing is cut.
+    void sendBroadcast(std::size_t from, const vm_id &to, const peer_frame &frame);
+    void updateReachability(fleet_node &node, membership_actions &actions);
+    /// Counts the bytes of a message and schedules its arrival, unless the path is cut.
     void deliver(std::size_t from, std::size_t to, std::size_t bytes, event arrival);
     void countKind(std::string_view datagram, std::size_t bytes);
     void push(event each);
@@ -134,7 +139,7 @@
     std::uint64_t m_order = 0;
     std::map<gossip_kind, std::size_t> m_bytesByKind;
     bool m_countsKinds = false;
-    std::function<bool(std::size_t from, std::size_t to)> m_passes;
+    std::function<bool(std::size_t from, std::size_t to)> m_canDeliver;
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -2,7 +2,7 @@
 
 #include "gateway/exchange/early_requests.h"
 #include "gateway/exchange/exchange.h"
-#include "gateway/peers/reach_relay.h"
+#include "gateway/peers/lost_data_center_relay.h"
 #include "gateway/publication/publication_relay.h"
 #include "gateway/publication/published_state.h"
 #include "gateway/publication/store_follower.h"
@@ -17,22 +17,22 @@
 
 namespace orchidlead::gateway {
 
-/// A whole node: takes requests, follows what is published, stops as planned.
+/// A complete gateway node: serves requests, follows the published state, and stops gracefully.
 template <gateway_codec Codec>
 class gateway
 {
 public:
     gateway(http::io_loop &loop, wire::log &log, gateway_settings settings);
 
-    /// Listens and begins to read the store. Gives what the operating system refused.
+    /// Starts listening and reading the store. Returns an error if an address cannot be bound.
     [[nodiscard]] std::optional<http::listen_error> start();
-    /// Begins a planned stop: not ready at once, the loop ends when nothing is open, or shortly
-    /// before the platform would kill the process.
+    /// Begins a graceful stop. The node is not ready from now on. The loop ends when no request and
+    /// no connection is open, or shortly before the platform would kill the process.
     void stop();
     [[nodiscard]] bool ready() const;
 
 private:
-    /// Whether the node knows what it needs to serve requests.
+    /// Whether the node has the configuration and server list that it needs to serve requests.
     [[nodiscard]] bool prepared() const { return m_state.current() && m_state.listed(); }
     void begin(arrived_request &&request);
     void releaseEarlyRequests();
@@ -45,13 +45,13 @@
     void onDoubt(const server &which, bool avoided);
     void onRateLimitChanged(const server &which, std::optional<double> before);
     void onLeavingSaid(const server &which);
-    void onLeavingHeard(const server_start &start, const vm_id &from);
+    void onLeavingReported(const server_start &start, const vm_id &from);
     void onBackoff(const server &which, milliseconds time);
-    void onReach(const reach_event &event);
-    void askServerIn(const data_center_id &dataCenter);
+    void onReachability(const reachability_event &event);
+    void probeServerIn(const data_center_id &dataCenter);
     void onBroken(const server &which, const interrupted_request &request);
     void onConnectOutcome(const server_end &what, http::connect_outcome outcome);
-    void logEachSecond();
+    void logPeriodicSummary();
     void onFrame(const std::shared_ptr<peer_link> &link, peer_frame &&frame);
     [[nodiscard]] gateway_gauges gauges();
     void tick();
@@ -72,7 +72,7 @@
     request_placer m_placer;
     quarantine_relay m_quarantine;
     leaving_relay m_leaving;
-    reach_relay<peer_network> m_reachNews;
+    lost_data_center_relay<peer_network> m_lostDataCenterRelay;
     published_state m_state;
     store_follower<Codec> m_follower;
     publication_relay<Codec> m_relay;
@@ -82,9 +82,9 @@
     std::shared_ptr<http::inbound_shared> m_probes;
     std::unique_ptr<http::listener> m_clientListener;
     std::unique_ptr<http::listener> m_readinessListener;
-    std::vector<std::weak_ptr<exchange<Codec>>> m_exchanges; ///< open ones, and ended ones
-    std::size_t m_sweepAt = 0;
-    early_requests m_early;
+    std::vector<std::weak_ptr<exchange<Codec>>> m_exchanges; ///< open and ended exchanges
+    std::size_t m_sweepThreshold = 0;
+    early_requests m_earlyRequests;
     bool m_wasReady = false;
     steady_time m_nextSummary{};
     steady_time m_configurationSince{};
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -7,39 +7,42 @@
 
 namespace orchidlead::gateway {
 
-/// Removals that are read this long after the store came back are believed only then: entries of
-/// living servers are back within about 2 s.
+/// Time after the return of the store during which removals of servers are deferred: entries of
+/// running servers reappear within about 2 s.
 inline constexpr milliseconds RemovalDelay{2300};
-/// How often deferred removals and readiness are looked at.
+/// How often deferred removals and readiness are checked.
 inline constexpr milliseconds TickInterval{100};
-/// After the signal to stop, new connections still come until the balancer has asked for readiness
-/// twice, once a second; then idle connections are closed.
-inline constexpr milliseconds StopNotice{2600};
-/// Requests that come later than this after the signal are refused: there would be no time for long
-/// ones, and the client has time to go elsewhere.
-inline constexpr milliseconds StopTaking{2900};
-/// A connection is closed in a stop only when it has been idle for so long: a new one gets the time
-/// to send its request, which is then answered.
-inline constexpr milliseconds StopIdle{300};
-/// Requests that still wait for their stages are refused so long after the signal: the client then
-/// has time to go elsewhere, and nobody is left without an answer when the process ends.
-inline constexpr milliseconds StopWaiting{5000};
-/// Ended exchanges are forgotten when the list has grown to this, or to twice what was left.
-inline constexpr std::size_t LeastSweep = 64;
-/// The process ends this long before it would be killed.
+/// Time after the stop signal when idle connections are closed. New connections arrive until the
+/// load balancer has checked readiness twice, once a second.
+inline constexpr milliseconds StopNoticeTime{2600};
+/// Requests that arrive later than this after the stop signal are refused: the time left would be
+/// too short for long requests, and the client still has time to try another gateway.
+inline constexpr milliseconds StopAcceptTime{2900};
+/// Idle time after which a connection is closed during a stop, so that a new connection has time to
+/// send its request and get an answer.
+inline constexpr milliseconds StopIdleTimeout{300};
+/// Requests that still wait for their stages this long after the stop signal are refused: the
+/// client has time to try another gateway, and no request is without an answer when the process
+/// ends.
+inline constexpr milliseconds StopWaitLimit{5000};
+/// Ended exchanges are removed from the list when it reaches this size, or twice its size after the
+/// last removal.
+inline constexpr std::size_t MinSweepSize = 64;
+/// The process ends this long before the platform would kill it.
 inline constexpr milliseconds StopMargin{500};
-/// Among how many nodes the reserve of second tries is divided at least: some may not be known.
-inline constexpr std::size_t AssumedNodes = 8;
+/// Smallest number of nodes that the retry reserve is divided among: some may not be known yet.
+inline constexpr std::size_t MinAssumedNodes = 8;
 
-/// Servers that ask many nodes for time at once are asked again over this part of it, not at once.
-inline constexpr double MostBackoffSpread = 0.25;
+/// Largest random extension of a server's backoff time, as a fraction of it. It keeps the nodes
+/// that were told to back off at the same time from returning at once.
+inline constexpr double MaxBackoffSpread = 0.25;
 
-/// Where the readiness address serves metrics.
+/// Path of the metrics at the readiness address.
 inline constexpr std::string_view MetricsPath = "/metrics";
-/// Between two lines about what the stage pools did.
+/// Interval of the summary log lines of stage pools and retries.
 inline constexpr milliseconds SummaryInterval{1000};
 
-/// Draws what tells this start from others of the VM: later starts are higher.
+/// Returns a number that identifies this start of the VM; later starts have higher numbers.
 [[nodiscard]] inline std::uint64_t drawIncarnation(const clock_source &clock)
 {
     const auto sinceEpoch = clock.wallNow().time_since_epoch();
@@ -47,13 +50,13 @@
         std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch).count());
 }
 
-/// Gives each VM random numbers of its own.
+/// Returns a random seed that differs between VMs.
 [[nodiscard]] inline std::uint32_t seedOf(const vm_id &vm)
 {
     return static_cast<std::uint32_t>(std::hash<std::string>{}(vm.value));
 }
 
-/// Draws the place of a VM in the turns of `retry_allowance`.
+/// Returns the position of a VM in the turns of `retry_allowance`, in [0, 1).
 [[nodiscard]] inline double drawTurn(const vm_id &vm)
 {
     std::mt19937 random(seedOf(vm));
@@ -93,14 +96,14 @@
                                  .add("data_center", pool.dataCenter.value)
                                  .add("host", host.value));
                },
-               [this](const reach_event &event) { onReach(event); }})
+               [this](const reachability_event &event) { onReachability(event); }})
     , m_router(loop, log, m_peers, m_stages, m_directory, m_allowance, m_settings)
     , m_placer(loop, m_peers, m_directory, m_settings.without)
     , m_quarantine(loop, m_peers, log)
     , m_leaving(
           m_peers, m_directory,
-          [this](const server_start &start, const vm_id &from) { onLeavingHeard(start, from); })
-    , m_reachNews(m_peers, loop.clock())
+          [this](const server_start &start, const vm_id &from) { onLeavingReported(start, from); })
+    , m_lostDataCenterRelay(m_peers, loop.clock())
     , m_state(loop.clock(), m_directory, RemovalDelay)
     , m_follower(
           loop, m_pool, m_settings.store, m_state,
@@ -132,9 +135,9 @@
                 }}
     , m_clients(std::make_shared<http::inbound_shared>())
     , m_probes(std::make_shared<http::inbound_shared>())
-    , m_early(loop.clock())
+    , m_earlyRequests(loop.clock())
 {
-    m_allowance.setNodes(AssumedNodes);
+    m_allowance.setNodes(MinAssumedNodes);
     m_directory.setSelf(m_settings.vm);
     m_directory.setRegions(m_settings.regions);
     m_stages.setRateShare([this](const pool_key &pool) { return m_peers.rateShare(pool); });
@@ -149,12 +152,12 @@
         m_router.onServersChanged(service);
     });
     m_directory.setBackoffSpread([this] {
-        return std::uniform_real_distribution<double>(0.0, MostBackoffSpread)(m_context.random);
+        return std::uniform_real_distribution<double>(0.0, MaxBackoffSpread)(m_context.random);
     });
     m_follower.onRead([this](const store_news &news) { m_relay.onStoreNews(news); });
     m_directory.onHeard([this](const data_center_id &from) {
         m_peers.onUse(from);
-        m_peers.onServerHeard(from);
+        m_peers.onServerResponse(from);
     });
     m_directory.onSent([this](const data_center_id &to) { m_peers.onUse(to); });
     m_directory.onDoubt([this](const server &which, bool avoided) { onDoubt(which, avoided); });
@@ -212,23 +215,23 @@
 void gateway<Codec>::onRequest(const http::inbound_ptr &client, http::request_head &&head,
                                std::string &&body)
 {
-    if (m_stopping && m_loop.now() - m_stopBegan > StopTaking) {
+    if (m_stopping && m_loop.now() - m_stopBegan > StopAcceptTime) {
         exchange<Codec>::refuse(*client);
         return;
     }
     arrived_request request{client, std::move(head), std::move(body), m_loop.now()};
-    const auto isHeld = [&] {
+    const auto tryHold = [&] {
         const auto patience = Codec::readRequest(request.head).patience;
-        return m_early.hold(request, patience.value_or(milliseconds{0}));
+        return m_earlyRequests.hold(request, patience.value_or(milliseconds{0}));
     };
-    if (prepared() || !isHeld())
+    if (prepared() || !tryHold())
         begin(std::move(request));
 }
 
 template <gateway_codec Codec>
 void gateway<Codec>::releaseEarlyRequests()
 {
-    for (auto &each : m_early.takeDue(prepared() || m_stopping))
+    for (auto &each : m_earlyRequests.takeDue(prepared() || m_stopping))
         begin(std::move(each));
 }
 
@@ -238,9 +241,9 @@
     const auto made = std::make_shared<exchange<Codec>>(m_context, std::move(request.client),
                                                         std::move(request.head),
                                                         std::move(request.body), request.at);
-    if (m_exchanges.size() >= m_sweepAt) {
+    if (m_exchanges.size() >= m_sweepThreshold) {
         std::erase_if(m_exchanges, [](const auto &weak) { return weak.expired(); });
-        m_sweepAt = std::max(LeastSweep, 2 * m_exchanges.size());
+        m_sweepThreshold = std::max(MinSweepSize, 2 * m_exchanges.size());
     }
     m_exchanges.push_back(made);
     made->start();
@@ -352,7 +355,7 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onLeavingHeard(const server_start &start, const vm_id &from)
+void gateway<Codec>::onLeavingReported(const server_start &start, const vm_id &from)
 {
     auto line = m_log.line(wire::log_level::Info, toName(log_event::ServerSaidLeaving));
     line.add("server", start.id.value).add("heard", "peer").add("from", from.value);
@@ -369,14 +372,14 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::askServerIn(const data_center_id &dataCenter)
+void gateway<Codec>::probeServerIn(const data_center_id &dataCenter)
 {
     const auto asked = m_directory.anyIn(dataCenter);
     if (!asked)
         return;
     m_pool.connect(asked->record.address, [this, dataCenter](http::connect_outcome outcome) {
         if (outcome == http::connect_outcome::Connected)
-            m_peers.onServerHeard(dataCenter);
+            m_peers.onServerResponse(dataCenter);
     });
 }
 
@@ -405,15 +408,15 @@
         m_quarantine.onServerEnd(what);
 }
 
-// What waits for a lost data centre goes elsewhere at once, where that is allowed.
+// Requests that wait for a lost data centre fail over to another one at once, where allowed.
 template <gateway_codec Codec>
-void gateway<Codec>::onReach(const reach_event &event)
+void gateway<Codec>::onReachability(const reachability_event &event)
 {
-    if (event.step == reach_step::AskServers) {
-        askServerIn(event.dataCenter);
+    if (event.type == reachability_event_type::ProbeServers) {
+        probeServerIn(event.dataCenter);
         return;
     }
-    const bool lost = event.step == reach_step::Lost;
+    const bool lost = event.type == reachability_event_type::Lost;
     const auto kind = lost ? log_event::DataCenterLost : log_event::DataCenterRegained;
     m_log.write(wire::log_level::Warning,
                 m_log.line(wire::log_level::Warning, toName(kind))
@@ -421,7 +424,7 @@
     m_directory.setCutOff(event.dataCenter, lost);
     if (!lost)
         return;
-    m_reachNews.onLost(event.dataCenter);
+    m_lostDataCenterRelay.onLost(event.dataCenter);
     m_stages.onDataCenterLost(event.dataCenter);
     const auto exchanges = m_exchanges;
     for (const auto &weak : exchanges) {
@@ -430,9 +433,9 @@
     }
 }
 
-// What would be too much to say for each request.
+// Writes counts that would be too many lines if written per request.
 template <gateway_codec Codec>
-void gateway<Codec>::logEachSecond()
+void gateway<Codec>::logPeriodicSummary()
 {
     m_stages.logSummaries();
     m_retries = m_allowance.takeUsage();
@@ -457,7 +460,7 @@
     m_placer.onFrame(link, frame);
     m_quarantine.onFrame(link, frame);
     m_leaving.onFrame(link, frame);
-    m_reachNews.onFrame(frame);
+    m_lostDataCenterRelay.onFrame(frame);
     m_router.onFrame(link, std::move(frame));
 }
 
@@ -469,13 +472,13 @@
     if (std::exchange(m_wasReady, ready()) != ready())
         m_log.write(wire::log_level::Info,
                     ready() ? wire::node_event::Ready : wire::node_event::NotReady, {});
-    m_allowance.setNodes(std::max(AssumedNodes, m_peers.view().nodes()));
+    m_allowance.setNodes(std::max(MinAssumedNodes, m_peers.view().nodes()));
     m_router.tick();
     m_quarantine.tick();
     m_leaving.tick();
     if (m_loop.now() >= m_nextSummary) {
         m_nextSummary = m_loop.now() + SummaryInterval;
-        logEachSecond();
+        logPeriodicSummary();
     }
     m_relay.tick();
     releaseEarlyRequests();
@@ -509,10 +512,10 @@
 void gateway<Codec>::checkStopped()
 {
     const auto since = m_loop.now() - m_stopBegan;
-    if (since < StopNotice)
+    if (since < StopNoticeTime)
         return;
-    m_clientListener->closeIdle(StopIdle);
-    if (since > StopWaiting)
+    m_clientListener->closeIdle(StopIdleTimeout);
+    if (since > StopWaitLimit)
         refuseWaiting();
     const bool idle = m_clients->answering == 0 && m_clients->connections == 0;
     if (!idle && since < m_settings.bounds.stopGrace - StopMargin)
--- a/src/gateway/peers/peer_frame_kind.h
+++ b/src/gateway/peers/peer_frame_kind.h
@@ -3,10 +3,10 @@
 #include <cstddef>
 #include <cstdint>
 
-/// What the writer and the reader of peer frames share; nobody else needs it.
+/// Constants shared by the writer and the reader of peer frames only.
 namespace orchidlead::gateway {
 
-/// What a frame holds; part of the wire format.
+/// Type of a frame; part of the wire format.
 enum class frame_kind : std::uint8_t {
     Piece = 1,
     Withdraw = 2,
@@ -32,12 +32,12 @@
     AdmissionAnswer = 22,
     RateLimits = 23,
     LeavingServers = 24,
-    Compressed = 25, ///< another frame
+    Compressed = 25, ///< wraps another frame
     LostDataCenter = 26,
 };
 
-/// Stands where an outcome has a result instead of a reason.
-inline constexpr std::uint64_t DoneCode = 0;
+/// Code of an outcome that has a result; other codes are failures.
+inline constexpr std::uint64_t SuccessCode = 0;
 inline constexpr unsigned BitsPerByte = 8;
 
 } // namespace orchidlead::gateway
--- a/src/gateway/peers/peer_frame_reader.cpp
+++ b/src/gateway/peers/peer_frame_reader.cpp
@@ -1,7 +1,7 @@
 #include "gateway/peers/peer_frame_kind.h"
 #include "gateway/peers/peer_frames.h"
 
-// The codec needs nothing of Boost.
+// Keeps msgpack from depending on Boost.
 #define MSGPACK_NO_BOOST
 #include <msgpack.hpp>
 
@@ -15,7 +15,7 @@
 
 constexpr std::size_t MaxNesting = 8;
 
-/// Reads the fields of one array in order; the first wrong one makes all further reads fail.
+/// Reads the fields of one array in order. After the first invalid field all further reads fail.
 class field_reader
 {
 public:
@@ -41,7 +41,7 @@
         }
         return value;
     }
-    /// Reads a value, or that there is none.
+    /// Reads a value, or nil as an empty optional.
     template <class Value>
     std::optional<Value> optional()
     {
@@ -115,9 +115,9 @@
     return frame;
 }
 
-/// Reads the items of a list with `take`, which reads one or more of them.
+/// Reads all elements of a list. Each call of `readItem` reads one item of one or more elements.
 template <class Take>
-void readList(field_reader &in, Take take)
+void readList(field_reader &in, Take readItem)
 {
     const auto *list = in.next();
     if (!list || list->type != msgpack::type::ARRAY) {
@@ -126,12 +126,12 @@
     }
     field_reader items(*list);
     while (items.good() && !items.atEnd())
-        take(items);
+        readItem(items);
     if (!items.good())
         in.fail();
 }
 
-/// Reads a list of names into a container of them.
+/// Reads a list of names into a container.
 template <class Names>
 Names readNames(field_reader &in)
 {
@@ -163,7 +163,7 @@
     return wish;
 }
 
-// A limit that no server can name would make the receiver's pace no number.
+// Rejects limits that are negative or not finite: they would make the receiver's request rate NaN.
 std::optional<double> readLimit(field_reader &in)
 {
     const auto limit = in.optional<double>();
@@ -257,7 +257,7 @@
     frame.token = in.read<piece_token>();
     const auto code = in.read<std::uint64_t>();
     auto handle = in.read<std::string>();
-    if (code == DoneCode)
+    if (code == SuccessCode)
         frame.report.result = std::move(handle);
     else if (code <= enumNames<piece_failure>.size())
         frame.report.result = enumNames<piece_failure>[code - 1].value;
@@ -298,7 +298,7 @@
     return frame;
 }
 
-// The library's own reading of an array takes shorter ones, too.
+// msgpack's own conversion to std::array also accepts arrays that are too short.
 list_digest readDigest(field_reader &in)
 {
     const auto parts = in.read<std::vector<std::uint32_t>>();
@@ -438,7 +438,7 @@
         return readLeavingServers(in);
     case frame_kind::LostDataCenter:
         return lost_data_center_frame{data_center_id(in.read<std::string>())};
-    case frame_kind::Compressed: // within another one
+    case frame_kind::Compressed: // not allowed inside a compressed frame
         break;
     }
     in.fail();
@@ -453,7 +453,7 @@
     return length;
 }
 
-/// Whether a frame may hold another one.
+/// Whether a frame may be a compressed one that wraps another frame.
 enum class nesting { MayBeCompressed, Plain };
 
 result<peer_frame, frame_error> decodeFrame(std::string_view bytes, nesting allowed);
@@ -465,19 +465,20 @@
     const auto bytes = in.read<std::vector<char>>();
     text.bytes.assign(bytes.begin(), bytes.end());
     if (!in.good())
-        return frame_error{"a compressed frame lacks a field, or has one of another type"};
+        return frame_error{"compressed frame has a missing or mistyped field"};
     const auto plain = decompress(text, MaxFrameBytes);
     if (!plain)
-        return frame_error{"a compressed frame: " + plain.error().what};
+        return frame_error{"cannot decompress frame: " + plain.error().what};
     return decodeFrame(plain.value(), nesting::Plain);
 }
 
 result<peer_frame, frame_error> decodeFrame(std::string_view bytes, nesting allowed)
 {
     try {
-        // No list or text can have more items than the frame has bytes.
-        const auto most = bytes.size();
-        const msgpack::unpack_limit limit(most, most, most, most, most, MaxNesting);
+        // No list or string can have more elements than the frame has bytes.
+        const auto maxItems = bytes.size();
+        const msgpack::unpack_limit limit(maxItems, maxItems, maxItems, maxItems, maxItems,
+                                          MaxNesting);
         const auto handle = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
         field_reader in(handle.get());
         const auto kind = static_cast<frame_kind>(in.read<std::uint8_t>());
@@ -485,7 +486,7 @@
             return decodeCompressed(in);
         auto frame = readFrame(kind, in);
         if (!in.good())
-            return frame_error{"a frame lacks a field, or has one of another type"};
+            return frame_error{"frame has a missing or mistyped field"};
         return frame;
     } catch (const msgpack::unpack_error &error) {
         return frame_error{error.what()};
@@ -501,22 +502,23 @@
 
 result<std::vector<peer_frame>, frame_error> frame_splitter::feed(std::string_view bytes)
 {
-    m_rest.append(bytes);
+    m_buffer.append(bytes);
     std::vector<peer_frame> frames;
     std::size_t begin = 0;
-    while (m_rest.size() - begin >= FrameHeaderBytes) {
-        const auto length = readLength(std::string_view(m_rest).substr(begin));
+    while (m_buffer.size() - begin >= FrameHeaderBytes) {
+        const auto length = readLength(std::string_view(m_buffer).substr(begin));
         if (length > MaxFrameBytes)
-            return frame_error{"a frame passes the bound"};
-        if (m_rest.size() - begin < FrameHeaderBytes + length)
+            return frame_error{"frame exceeds the size limit"};
+        if (m_buffer.size() - begin < FrameHeaderBytes + length)
             break;
-        auto frame = decodeFrame(std::string_view(m_rest).substr(begin + FrameHeaderBytes, length));
+        auto frame =
+            decodeFrame(std::string_view(m_buffer).substr(begin + FrameHeaderBytes, length));
         if (!frame)
             return std::move(frame).error();
         frames.push_back(std::move(frame).value());
         begin += FrameHeaderBytes + length;
     }
-    m_rest.erase(0, begin);
+    m_buffer.erase(0, begin);
     return frames;
 }
 
--- a/src/gateway/peers/peer_frame_writer.cpp
+++ b/src/gateway/peers/peer_frame_writer.cpp
@@ -1,7 +1,7 @@
 #include "gateway/peers/peer_frame_kind.h"
 #include "gateway/peers/peer_frames.h"
 
-// The codec needs nothing of Boost.
+// Keeps msgpack from depending on Boost.
 #define MSGPACK_NO_BOOST
 #include <msgpack.hpp>
 
@@ -12,8 +12,9 @@
 using buffer = msgpack::sbuffer;
 using packer = msgpack::packer<buffer>;
 
-// Lists of servers repeat themselves; changes of a few don't.
-constexpr std::size_t LeastCompressed = 4096;
+// Smallest publication that is compressed: whole server lists are repetitive, changes of a few
+// servers are not.
+constexpr std::size_t MinCompressedBytes = 4096;
 
 void packKind(packer &out, frame_kind kind, std::uint32_t fields)
 {
@@ -26,8 +27,8 @@
     out.pack(static_cast<std::int64_t>(duration.count()));
 }
 
-/// When a server started, where it says so.
-void packBorn(packer &out, const std::optional<std::uint64_t> &born)
+/// Packs the start time of a server, or nil where the server does not publish one.
+void packStartTime(packer &out, const std::optional<std::uint64_t> &born)
 {
     if (born)
         out.pack(*born);
@@ -38,10 +39,10 @@
 void packStart(packer &out, const server_start &start)
 {
     out.pack(start.id.value);
-    packBorn(out, start.born);
+    packStartTime(out, start.born);
 }
 
-/// Fields of a server in a list; they follow each other in one array.
+/// Number of fields per server. The fields of all servers form one flat array.
 constexpr std::uint32_t ServerFields = 9;
 
 void packServer(packer &out, const published_server &told)
@@ -54,7 +55,7 @@
     out.pack(server.dataCenter.value);
     out.pack(server.slots);
     out.pack(server.leaving);
-    packBorn(out, server.born);
+    packStartTime(out, server.born);
     packDuration(out, told.coldFor);
 }
 
@@ -64,7 +65,7 @@
     out.pack_bin_body(reinterpret_cast<const char *>(digest.bytes.data()), request_digest::Size);
 }
 
-/// Names as they are told: of servers, regions, data centres.
+/// Packs a list of identifiers: of servers, regions or data centres.
 template <class Names>
 void packNames(packer &out, const Names &names)
 {
@@ -122,7 +123,7 @@
     packKind(out, frame_kind::Outcome, 4);
     out.pack(frame.token);
     if (const auto *handle = std::get_if<std::string>(&frame.report.result)) {
-        out.pack(DoneCode);
+        out.pack(SuccessCode);
         out.pack(*handle);
     } else {
         out.pack(static_cast<std::uint64_t>(std::get<piece_failure>(frame.report.result)) + 1);
@@ -131,7 +132,7 @@
     packDuration(out, frame.report.wait);
 }
 
-/// Fields of a wish; they stand in the array of its frame.
+/// Number of fields of a `placement_wish`, which are packed into the array of its frame.
 constexpr std::uint32_t WishFields = 13;
 
 void packWish(packer &out, const placement_wish &wish)
@@ -346,7 +347,7 @@
     packDigest(out, frame.request);
 }
 
-/// Puts the frame that a buffer holds into one that travels in fewer bytes.
+/// Replaces the frame in the buffer by a compressed frame that wraps it.
 void packCompressed(buffer &body)
 {
     const auto text = compress({body.data(), body.size()});
@@ -365,7 +366,7 @@
     buffer body;
     packer out(body);
     std::visit([&](const auto &each) { pack(out, each); }, frame);
-    if (std::holds_alternative<publication_frame>(frame) && body.size() >= LeastCompressed)
+    if (std::holds_alternative<publication_frame>(frame) && body.size() >= MinCompressedBytes)
         packCompressed(body);
     std::string bytes;
     bytes.reserve(FrameHeaderBytes + body.size());
--- a/src/gateway/peers/peer_frames.h
+++ b/src/gateway/peers/peer_frames.h
@@ -17,151 +17,154 @@
 #include <variant>
 #include <vector>
 
-/// What gateways say to each other over TCP: typed frames and their MessagePack codec. Times travel
-/// as what is left, since clocks of machines differ.
+/// Messages between gateways over TCP: typed frames and their MessagePack codec. Times are sent as
+/// remaining or elapsed durations, since the clocks of machines differ.
 namespace orchidlead::gateway {
 
-/// Asks the receiver to have a piece done.
+/// Asks the receiver, which hosts the pool, to have a piece computed.
 struct piece_frame
 {
-    piece_token token = 0; ///< of the sender
+    piece_token token = 0; ///< chosen by the sender
     pool_key pool;
     piece_request request;
     stage_rank rank;
-    milliseconds aimLeft{0}; ///< negative: it is over
+    milliseconds aimLeft{0}; ///< time until the latency target; negative: target missed
     milliseconds deadlineLeft{0};
     data_center_id near;
-    std::uint64_t inputBytes = 0; ///< about
-    std::uint64_t resultBytes = 0; ///< about
+    std::uint64_t inputBytes = 0; ///< estimate
+    std::uint64_t resultBytes = 0; ///< estimate
 };
 
-/// The sender doesn't need the piece any more.
+/// Cancels a piece that the sender no longer needs.
 struct withdraw_frame
 {
     piece_token token = 0;
 };
 
-/// What became of a piece of the receiver.
+/// Outcome of a piece that the receiver asked for.
 struct outcome_frame
 {
-    piece_token token = 0; ///< of the receiver
+    piece_token token = 0; ///< chosen by the receiver
     piece_report report;
 };
 
-/// Gives results up; the receiver hosts their service.
+/// Releases stage results that are no longer needed; the receiver hosts their service.
 struct free_frame
 {
     std::vector<std::string> handles;
 };
 
-/// Asks the receiver, which hosts the board of a service, to place a request on an engine.
+/// Asks the receiver, which hosts the placement board of a service, to place a request on an
+/// engine.
 struct place_frame
 {
-    placement_id id = 0; ///< of the sender
+    placement_id id = 0; ///< chosen by the sender
     placement_wish wish;
 };
 
+/// Answers a `place_frame`.
 struct placed_frame
 {
-    placement_id id = 0; ///< of the receiver
-    backend_server_id server; ///< empty: there is none
+    placement_id id = 0; ///< chosen by the receiver
+    backend_server_id server; ///< empty: no server was found
     milliseconds wait{0}; ///< as in `placed_request`
     bool allBounded = false;
 };
 
-/// What has become of a request that the receiver placed.
+/// Reports the progress of a request that the receiver placed.
 struct progress_frame
 {
     enum class what : std::uint8_t { FirstAnswer, Ended };
-    placement_id id = 0; ///< of the sender
+    placement_id id = 0; ///< chosen by the sender
     what kind = what::Ended;
-    /// Of an answer that has just come, less what binds the node that got it alone.
+    /// Signals of the answer that has just arrived, without those meant for its receiver alone.
     server_signals signals = NoSignals;
 };
 
-/// Asks the receiver whether a request may go on to its stages.
+/// Asks the receiver whether a request may start its stages.
 struct admission_request
 {
-    placement_id id = 0; ///< of the sender
+    placement_id id = 0; ///< chosen by the sender
     placement_wish wish; ///< without its prompt
 };
 struct admission_answer
 {
-    placement_id id = 0; ///< of the receiver
+    placement_id id = 0; ///< chosen by the receiver
     admission told;
 };
 
-/// Tells the receiver, which hosts their pools, what servers' answers said to the sender.
+/// Reports the rate limits that servers stated in answers to the sender; the receiver hosts the
+/// servers' pools.
 struct rate_limits_frame
 {
-    struct told_limit
+    struct server_rate_limit
     {
         server_start server;
-        std::optional<double> perSecond; ///< empty: none any more
-        milliseconds ago{0};
+        std::optional<double> perSecond; ///< empty: no limit any more
+        milliseconds ago{0}; ///< since the server stated the limit
     };
-    std::vector<told_limit> limits;
+    std::vector<server_rate_limit> limits;
 };
 
-/// Servers that said in answers that they leave, as the sender knows.
+/// Servers known to the sender that announced in an answer that they are leaving.
 struct leaving_servers_frame
 {
     std::vector<server_start> servers;
 };
 
-/// The sender, or a node that told it, reaches a data centre no longer: the receiver is to look for
-/// itself.
+/// Reports that the sender, or a node that notified the sender, cannot reach a data centre. The
+/// receiver is to probe the data centre itself.
 struct lost_data_center_frame
 {
     data_center_id dataCenter;
 };
 
-/// Asks whether the receiver is there.
+/// Liveness check; the receiver answers with a `pong_frame`.
 struct ping_frame
 { };
 struct pong_frame
 { };
 
-/// Asks for what the receiver knows to be published.
+/// Asks for the published state that the receiver knows.
 struct publication_request
 {
-    std::uint64_t configurationVersion = 0; ///< that the sender has in force
-    list_digest known{}; ///< of the servers that the sender knows
+    std::uint64_t configurationVersion = 0; ///< in force on the sender
+    list_digest known{}; ///< digest of the servers that the sender knows
 };
-/// What is published, as the sender knows it: parts of the list of servers, changes, or, without
-/// content, a heartbeat of a reader of the store.
+/// Published state as known to the sender: parts of the server list, changes, or, without content,
+/// a heartbeat of a node that reads the store.
 struct publication_frame
 {
-    std::uint64_t configurationVersion = 0; ///< the latest that the sender knows of
-    bool current = false; ///< the sender reads the store right now, or follows a node that does
-    milliseconds age{0}; ///< since that was so; 0: the sender itself reads it
-    bool compared = false; ///< with `parts`, the receiver knows all that the sender does
-    std::vector<std::uint32_t> parts; ///< of which all servers are told, not only changes
-    std::uint64_t revision = 0; ///< of the store, up to which the sender knows everything
+    std::uint64_t configurationVersion = 0; ///< latest version known to the sender
+    bool current = false; ///< the sender reads the store now, or follows a node that does
+    milliseconds age{0}; ///< since the state was current; 0: the sender itself reads the store
+    bool compared = false; ///< with `parts` applied, the receiver knows all that the sender knows
+    std::vector<std::uint32_t> parts; ///< parts of which all servers are listed, not only changes
+    std::uint64_t revision = 0; ///< store revision up to which the sender knows all changes
     std::vector<published_server> servers;
-    std::vector<backend_server_id> removed; ///< taken after `servers`
-    milliseconds removalsDeferred{0}; ///< removals aren't believed for so long
-    evacuation_list evacuations; ///< always whole: a few names at most
+    std::vector<backend_server_id> removed; ///< applied after `servers`
+    milliseconds removalsDeferred{0}; ///< removals take effect only after this time
+    evacuation_list evacuations; ///< always complete: a few names at most
 };
 
-/// Asks the receiver to send what it knows beyond that revision, and then each change, or to end
-/// that.
+/// Subscribes the sender to the receiver's published state: first to what the receiver knows beyond
+/// the revision, then to each change. Without `begins`, ends the subscription.
 struct follow_frame
 {
     bool begins = false;
-    std::uint64_t revision = 0; ///< of the store, up to which the sender knows everything
-    list_digest known{}; ///< of the servers that the sender knows
+    std::uint64_t revision = 0; ///< store revision up to which the sender knows all changes
+    list_digest known{}; ///< digest of the servers that the sender knows
 };
 
-/// The sender knows another list than it told, up to a revision of the store: a follower that knows
-/// less and another list asks for what differs.
+/// Sent when the sender's server list differs from what it has sent so far, up to a store revision.
+/// A follower that knows a lower revision and another list asks for the differing parts.
 struct compare_frame
 {
     std::uint64_t revision = 0;
-    list_digest known{};
+    list_digest known{}; ///< digest of the sender's list
 };
 
-/// Asks for the configuration in force on the receiver once it has at least this version.
+/// Asks for the configuration in force on the receiver, once its version is at least this one.
 struct configuration_request
 {
     std::uint64_t version = 0;
@@ -173,39 +176,39 @@
     compressed_text text;
 };
 
-/// Tells the receiver, which decides on requests under which servers end, what the sender saw.
+/// Reports ended servers and their interrupted requests to the quarantine host.
 struct server_ends_frame
 {
-    struct told_request
+    struct sent_request
     {
         request_digest digest;
         milliseconds sentAgo{0};
     };
-    struct told_end
+    struct ended_server
     {
         backend_server_id server;
         milliseconds ago{0};
-        std::vector<told_request> requests;
+        std::vector<sent_request> requests;
     };
-    std::vector<told_end> ends;
+    std::vector<ended_server> ends;
 };
 
-/// How requests are treated, by the sender's knowledge.
+/// Quarantine state of requests, as known to the sender.
 struct quarantine_frame
 {
-    struct told_entry
+    struct entry_update
     {
         request_digest request;
         quarantine_level level = quarantine_level::Free;
         std::uint64_t version = 0;
-        milliseconds left{0}; ///< until the entry ends
-        std::uint32_t times = 0;
+        milliseconds left{0}; ///< until the entry expires
+        std::uint32_t times = 0; ///< quarantines since the request was last served
     };
-    vm_id host; ///< the sender, where it decides; empty: it tells what it knows
-    std::vector<told_entry> entries;
+    vm_id host; ///< the sender, if it is the quarantine host; empty: forwarded entries
+    std::vector<entry_update> entries;
 };
 
-/// Asks for the right to send a suspected request to one server.
+/// Asks for permission to send a suspected request to one server.
 struct trial_request
 {
     request_digest request;
@@ -229,31 +232,32 @@
                  trial_answer, trial_end, admission_request, admission_answer, rate_limits_frame,
                  leaving_servers_frame, lost_data_center_frame>;
 
-/// Says why bytes aren't a frame.
+/// Reason why bytes could not be decoded as a frame.
 struct frame_error
 {
     std::string what;
 };
 
-/// Longest frame, and longest text of a configuration.
+/// Upper limit of the size of a frame, and of the text of a configuration.
 inline constexpr std::size_t MaxFrameBytes = 16U << 20U;
-/// Bytes before a frame that hold its length.
+/// Size of the length field that precedes each frame.
 inline constexpr std::size_t FrameHeaderBytes = 4;
 
-/// Writes a frame with its length before it.
+/// Encodes a frame with its length field.
 [[nodiscard]] std::string encodeFrame(const peer_frame &frame);
-/// Reads a frame without its length.
+/// Decodes a frame without its length field.
 [[nodiscard]] result<peer_frame, frame_error> decodeFrame(std::string_view bytes);
 
-/// Takes a stream of bytes apart into frames.
+/// Splits a stream of bytes into frames.
 class frame_splitter
 {
 public:
-    /// Adds bytes. After an error the stream can't be read on.
+    /// Appends bytes and returns the frames completed by them. After an error the stream cannot be
+    /// read any further.
     [[nodiscard]] result<std::vector<peer_frame>, frame_error> feed(std::string_view bytes);
 
 private:
-    std::string m_rest;
+    std::string m_buffer;
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/peers/peer_link.cpp
+++ b/src/gateway/peers/peer_link.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A peer in another data centre answers within 40 ms; one lost packet costs a second, and by then
-// the work is better done elsewhere.
+// A peer in another data centre answers within 40 ms. A lost SYN is retransmitted only after 1 s;
+// by then another peer is the better choice.
 constexpr milliseconds ConnectTimeout{250};
 
 } // namespace
@@ -51,7 +51,7 @@
 {
     if (!m_socket)
         return;
-    m_out.append(frame);
+    m_sendBuffer.append(frame);
     if (!m_connected || std::exchange(m_flushPosted, true))
         return;
     m_loop.post([self = shared_from_this()] {
@@ -62,17 +62,17 @@
 
 void peer_link::ask()
 {
-    if (m_askedAt)
+    if (m_pingSentAt)
         return;
-    m_askedAt = m_loop.now();
+    m_pingSentAt = m_loop.now();
     send(ping_frame{});
 }
 
 void peer_link::flush()
 {
-    if (!m_socket || m_out.empty())
+    if (!m_socket || m_sendBuffer.empty())
         return;
-    if (!m_socket->write(std::exchange(m_out, {})))
+    if (!m_socket->write(std::exchange(m_sendBuffer, {})))
         end();
 }
 
@@ -80,7 +80,7 @@
 {
     const auto self = shared_from_this();
     m_lastHeard = m_loop.now();
-    m_askedAt.reset();
+    m_pingSentAt.reset();
     auto frames = m_frames.feed(bytes);
     if (!frames) {
         end();
@@ -102,7 +102,7 @@
     end();
 }
 
-void peer_link::drop()
+void peer_link::closeSilently()
 {
     m_events = {};
     end();
--- a/src/gateway/peers/peer_link.h
+++ b/src/gateway/peers/peer_link.h
@@ -26,19 +26,19 @@
 
     void open(const socket_address &to);
     void accept(std::shared_ptr<http::stream_socket> socket);
-    /// Sends with what else is sent in the same turn of the loop.
+    /// Sends a frame. All frames sent in one iteration of the loop go out in one write.
     void send(const peer_frame &frame) { sendEncoded(encodeFrame(frame)); }
-    /// The same of a frame that was encoded once for many links.
+    /// Like `send`, for a frame that is encoded once for many links.
     void sendEncoded(std::string_view frame);
     void close();
-    /// Closes without reporting it.
-    void drop();
-    /// Asks the peer for a sign of life, unless it was asked already and hasn't answered.
+    /// Closes without calling `onClosed`.
+    void closeSilently();
+    /// Sends a ping, unless an earlier one is still unanswered.
     void ask();
-    /// When something last came from the peer, or the link was opened.
+    /// Returns when bytes last arrived from the peer, or when the link was opened.
     [[nodiscard]] steady_time lastHeard() const { return m_lastHeard; }
-    /// Since when a sign of life is awaited; empty: none is.
-    [[nodiscard]] const std::optional<steady_time> &askedAt() const { return m_askedAt; }
+    /// Returns when the unanswered ping was sent; empty: no ping is unanswered.
+    [[nodiscard]] const std::optional<steady_time> &askedAt() const { return m_pingSentAt; }
 
 private:
     void onConnected() override;
@@ -49,14 +49,14 @@
 
     http::io_loop &m_loop;
     events m_events;
-    std::shared_ptr<peer_link> m_self; ///< keeps the link until it is closed
+    std::shared_ptr<peer_link> m_self; ///< keeps the link alive until it is closed
     std::shared_ptr<http::stream_socket> m_socket;
     frame_splitter m_frames;
-    std::string m_out;
+    std::string m_sendBuffer;
     bool m_connected = false;
     bool m_flushPosted = false;
     steady_time m_lastHeard{};
-    std::optional<steady_time> m_askedAt;
+    std::optional<steady_time> m_pingSentAt;
     http::timer_id m_connectTimer = 0;
 };
 
--- a/src/gateway/peers/peer_network.cpp
+++ b/src/gateway/peers/peer_network.cpp
@@ -10,14 +10,14 @@
 
 peer_identity toIdentity(const gateway_settings &settings, std::uint64_t incarnation)
 {
-    constexpr double ThousandthsOfACore = 1000.0;
+    constexpr double MillicoresPerCore = 1000.0;
     return {settings.vm,
             settings.dataCenter,
             settings.region,
             settings.listen.peers,
             incarnation,
             settings.firstContacts,
-            static_cast<std::uint32_t>(settings.capacity * ThousandthsOfACore)};
+            static_cast<std::uint32_t>(settings.capacity * MillicoresPerCore)};
 }
 
 } // namespace
@@ -29,16 +29,16 @@
     , m_address(settings.listen.peers)
     , m_events(std::move(events))
     , m_view(loop.clock(), toIdentity(settings, incarnation), m_events.onHostChanged)
-    , m_followsReach(!settings.without.contains(policy::DataCenterReach))
+    , m_checksReachability(!settings.without.contains(policy::DataCenterReach))
 { }
 
 peer_network::~peer_network()
 {
     for (const auto &[peer, opened] : std::exchange(m_links, {}))
-        opened.link->drop();
+        opened.link->closeSilently();
     for (const auto &weak : m_accepted) {
         if (const auto link = weak.lock())
-            link->drop();
+            link->closeSilently();
     }
 }
 
@@ -65,7 +65,7 @@
     membership_actions actions;
     m_view.tick(actions);
     carryOut(actions);
-    followReach();
+    updateReachability();
     m_loop.callAfter(TickInterval, [this] { tick(); });
 }
 
@@ -76,21 +76,21 @@
     carryOut(actions);
 }
 
-void peer_network::followReach()
+void peer_network::updateReachability()
 {
-    if (!m_followsReach)
+    if (!m_checksReachability)
         return;
     membership_actions actions;
-    const auto events = m_view.followReach(actions);
+    const auto events = m_view.updateReachability(actions);
     carryOut(actions);
     for (const auto &event : events) {
-        m_events.onReach(event);
-        if (event.step == reach_step::Lost)
+        m_events.onReachability(event);
+        if (event.type == reachability_event_type::Lost)
             closeLinksTo(event.dataCenter);
     }
 }
 
-// What waits for an answer of theirs goes elsewhere at once.
+// Closing the links makes requests that wait for an answer from the data centre fail over at once.
 void peer_network::closeLinksTo(const data_center_id &dataCenter)
 {
     std::vector<std::shared_ptr<peer_link>> links;
@@ -168,7 +168,7 @@
 {
     peer_link::events handlers;
     handlers.onFrame = [this, from](const std::shared_ptr<peer_link> &link, peer_frame &&frame) {
-        m_view.onHeardFrom(from);
+        m_view.onLivenessSignalFrom(from);
         m_events.onFrame(link, std::move(frame));
     };
     handlers.onClosed = [this](const std::shared_ptr<peer_link> &link) {
--- a/src/gateway/peers/peer_view.cpp
+++ b/src/gateway/peers/peer_view.cpp
@@ -13,45 +13,46 @@
 
 namespace {
 
-// Probes of peers. A role that its holder can't fill costs all requests of a service their time, so
-// silence is noticed within a second; a probe costs two datagrams of about 150 bytes.
+// Probes of peers. A failed role holder delays all requests of a service, so silence is detected
+// within a second. A probe costs two datagrams of about 150 bytes.
 constexpr milliseconds ProbeInterval{400};
 constexpr milliseconds ProbeTimeout{120};
-// Of so many members in other data centres each is probed as often as one of the own; of more less
-// often, since each of them is probed by its own data centre and by many from others.
-constexpr std::size_t RemoteProbesInFull = 24;
+// Up to this number of members in other data centres, each is probed as often as a member of this
+// data centre. With more of them each is probed less often, since it is also probed by its own data
+// centre and by many nodes of others.
+constexpr std::size_t FullRateRemoteMembers = 24;
 constexpr milliseconds SuspicionMin{1200};
 constexpr milliseconds SuspicionMax{2000};
 constexpr milliseconds SyncInterval{250};
-// Nodes that can be told apart: nothing lists them, so all count as unlisted. Ten times those that
-// are expected; a record takes about 500 bytes.
-constexpr std::size_t MostNodes = 4096;
-// How often nodes of which nothing is heard are contacted: at first, and later.
-constexpr milliseconds EagerContact{300};
-constexpr milliseconds CalmContact{2000};
-// Of these, so many at a time.
-constexpr std::size_t MostContacts = 8;
-// How long a peer that didn't answer gets no role.
-constexpr milliseconds Avoidance{1500};
-// A node that starts knows all others within this; before, it may take itself for the only one.
-constexpr milliseconds AcquaintanceTime{2000};
-// What is hashed with a node to order those who read the store or relay what it publishes.
-constexpr std::string_view RelayRole = "store reader";
-// Nodes of a data centre that relay what others hear: while one of them ends the other one is
-// there.
-constexpr std::size_t NewsRelays = 2;
-// Nodes from which hosts are picked, at least: those that can do most.
-constexpr std::size_t LeastHosts = 4;
-// What is hashed to pick the one that decides on requests under which servers end.
-constexpr std::string_view QuarantineRole = "request quarantine";
-
-/// Gives the next ones of a list that may have changed since `last` was taken.
-std::vector<socket_address> takeInTurn(const std::vector<socket_address> &all, std::size_t count,
-                                       std::size_t &last)
+// Largest number of nodes that are tracked. No list of nodes exists, so all count as unlisted. This
+// is ten times the expected number; a record takes about 500 bytes.
+constexpr std::size_t MaxNodes = 4096;
+// How often silent nodes are contacted: while no peer is known to be alive, and otherwise.
+constexpr milliseconds IsolatedContactInterval{300};
+constexpr milliseconds ContactInterval{2000};
+// Silent nodes contacted per round.
+constexpr std::size_t MaxContactsPerRound = 8;
+// How long a peer that did not answer gets no role.
+constexpr milliseconds AvoidanceTime{1500};
+// A node knows all others within this time of its start. Before, it may consider itself the only
+// one.
+constexpr milliseconds DiscoveryTime{2000};
+// Rendezvous hash key for the order of nodes that read the store or relay publications.
+constexpr std::string_view RelayRoleKey = "store reader";
+// Broadcast relays per data centre: when one of them fails, the other one still relays.
+constexpr std::size_t BroadcastRelays = 2;
+// Smallest number of high-capacity nodes that hosts are picked from.
+constexpr std::size_t MinHostCandidates = 4;
+// Rendezvous hash key for the node that decides on the quarantine of requests.
+constexpr std::string_view QuarantineRoleKey = "request quarantine";
+
+/// Returns the next `count` items in round-robin order. The list may change between calls.
+std::vector<socket_address> takeRoundRobin(const std::vector<socket_address> &all,
+                                           std::size_t count, std::size_t &next)
 {
     std::vector<socket_address> taken;
     for (std::size_t i = 0; i < std::min(count, all.size()); ++i)
-        taken.push_back(all[last++ % all.size()]);
+        taken.push_back(all[next++ % all.size()]);
     return taken;
 }
 
@@ -64,13 +65,13 @@
     options.seed = identity.incarnation;
     options.probeInterval = ProbeInterval;
     options.remoteProbeInterval = ProbeInterval;
-    options.remoteProbesInFull = RemoteProbesInFull;
+    options.remoteProbesInFull = FullRateRemoteMembers;
     options.probeTimeout = ProbeTimeout;
     options.suspicionMin = SuspicionMin;
     options.suspicionMax = SuspicionMax;
     options.syncInterval = SyncInterval;
-    options.maxMembers = MostNodes;
-    options.maxUnlisted = MostNodes;
+    options.maxMembers = MaxNodes;
+    options.maxUnlisted = MaxNodes;
     return options;
 }
 
@@ -82,8 +83,8 @@
     , m_identity(identity)
     , m_onHostChanged(std::move(onHostChanged))
     , m_members(clock, toOptions(identity))
-    , m_reach(clock, identity.dataCenter)
-    , m_lastContacted(static_cast<std::size_t>(identity.incarnation))
+    , m_reachability(clock, identity.dataCenter)
+    , m_nextContactIndex(static_cast<std::size_t>(identity.incarnation))
     , m_startedAt(clock.now())
 {
     std::erase(m_identity.firstContacts, identity.address);
@@ -95,12 +96,12 @@
     const auto lapsed =
         std::erase_if(m_avoided, [&](const auto &entry) { return m_clock.now() >= entry.second; });
     if (lapsed > 0)
-        forgetRoles();
+        invalidateRoles();
     if (m_clock.now() >= m_nextContact)
-        contactOthers(out);
+        contactSilentMembers(out);
 }
 
-// Each message that is taken leaves a report of its sender; one that isn't leaves none.
+// An accepted message appends a `peer_report` of its sender to `out`; a rejected one appends none.
 void peer_view::onDatagram(const socket_address &from, std::string_view bytes,
                            membership_actions &out)
 {
@@ -110,26 +111,27 @@
     if (reported == out.end())
         return;
     if (const auto sender = m_members.find(std::get<peer_report>(*reported).vm))
-        m_reach.onHeard(sender->vm.dataCenter);
+        m_reachability.onLivenessSignal(sender->vm.dataCenter);
 }
 
-std::vector<reach_event> peer_view::followReach(membership_actions &out)
+std::vector<reachability_event> peer_view::updateReachability(membership_actions &out)
 {
-    auto events = m_reach.tick();
+    auto events = m_reachability.tick();
     for (const auto &each : events) {
-        if (each.step == reach_step::AskPeers)
-            askIn(each.dataCenter, each.peers, out);
-        else if (each.step != reach_step::AskServers)
-            forgetRoles();
+        if (each.type == reachability_event_type::ProbePeers)
+            probeDataCenter(each.dataCenter, each.probeCount, out);
+        else if (each.type != reachability_event_type::ProbeServers)
+            invalidateRoles();
     }
-    std::erase_if(events, [](const auto &each) { return each.step == reach_step::AskPeers; });
+    std::erase_if(
+        events, [](const auto &each) { return each.type == reachability_event_type::ProbePeers; });
     return events;
 }
 
-// First contacts may be away, and members on the far side of a cut are taken for dead there and
-// here: some of them are asked again and again, or the two sides would never meet. Who answers
-// tells of all others, and every node asks, so each asks a few, all in turn.
-void peer_view::contactOthers(membership_actions &out)
+// First contacts may be down, and after a network partition each side considers the members of the
+// other dead. Silent members are therefore contacted again and again, or the two sides would never
+// rejoin. A few per round are enough: every node does so, and an answer lists all other members.
+void peer_view::contactSilentMembers(membership_actions &out)
 {
     std::vector<socket_address> silent = m_identity.firstContacts;
     bool alone = true;
@@ -143,35 +145,36 @@
         else if (std::ranges::find(silent, each.vm.peerAddress) == silent.end())
             silent.push_back(each.vm.peerAddress);
     }
-    m_nextContact = m_clock.now() + (alone ? EagerContact : CalmContact);
-    m_members.contact(takeInTurn(silent, MostContacts, m_lastContacted), out);
+    m_nextContact = m_clock.now() + (alone ? IsolatedContactInterval : ContactInterval);
+    m_members.contact(takeRoundRobin(silent, MaxContactsPerRound, m_nextContactIndex), out);
 }
 
-// All in turn: some of them may be down.
-void peer_view::askIn(const data_center_id &dataCenter, std::size_t count, membership_actions &out)
+// Round robin, since some of the nodes may be down.
+void peer_view::probeDataCenter(const data_center_id &dataCenter, std::size_t count,
+                                membership_actions &out)
 {
     std::vector<socket_address> there;
     for (const auto &each : m_members.members()) {
         if (each.vm.dataCenter == dataCenter)
             there.push_back(each.vm.peerAddress);
     }
-    m_members.contact(takeInTurn(there, count, m_lastAsked), out);
+    m_members.contact(takeRoundRobin(there, count, m_nextProbeIndex), out);
 }
 
 void peer_view::avoid(const vm_id &peer)
 {
-    m_avoided[peer] = m_clock.now() + Avoidance;
-    forgetRoles();
+    m_avoided[peer] = m_clock.now() + AvoidanceTime;
+    invalidateRoles();
 }
 
-bool peer_view::avoided(const vm_id &peer) const
+bool peer_view::isAvoided(const vm_id &peer) const
 {
     const auto found = m_avoided.find(peer);
     return found != m_avoided.end() && m_clock.now() < found->second;
 }
 
-// Asked for each piece, and all members are hashed for an answer: so it is kept until something
-// changes that it depends on.
+// Called for each piece. A lookup hashes all members, so the result is cached until an input
+// changes.
 vm_id peer_view::hostOf(const pool_key &pool)
 {
     auto &kept = m_hosts[pool];
@@ -184,33 +187,34 @@
     return kept.vm;
 }
 
-// Where nodes are cut from each other, each side has a host; together they believe alive no more
-// than all there are, so their parts make one at most. Asked for each placement, so it is kept.
-double peer_view::partAlive() const
+// In a network partition each side has a host for the pool. The members considered alive on all
+// sides are no more than all nodes, so the fractions add up to at most 1. Called for each
+// placement, so the result is cached.
+double peer_view::aliveFraction() const
 {
-    if (m_clock.now() - m_startedAt < AcquaintanceTime)
+    if (m_clock.now() - m_startedAt < DiscoveryTime)
         return 0.0;
-    if (!m_partAlive)
-        m_partAlive =
+    if (!m_aliveFraction)
+        m_aliveFraction =
             static_cast<double>(candidates({}).size()) / static_cast<double>(m_members.size());
-    return *m_partAlive;
+    return *m_aliveFraction;
 }
 
-// A host that follows another one begins at once: what the two let go within one span over which a
-// server counts is under one and a half times its bound.
+// A new host starts sending at once after a change of hosts. Within one window over which a server
+// counts requests, the old and the new host together stay below 1.5 times the server's limit.
 double peer_view::rateShare(const pool_key &pool)
 {
-    return hostOf(pool) == self() ? partAlive() : 0.0;
+    return hostOf(pool) == self() ? aliveFraction() : 0.0;
 }
 
-void peer_view::forgetRoles()
+void peer_view::invalidateRoles()
 {
     for (auto &[pool, kept] : m_hosts)
         kept.current = false;
     m_relayOrder.clear();
-    m_newsReceivers.reset();
+    m_broadcastTargets.reset();
     m_quarantineHost.reset();
-    m_partAlive.reset();
+    m_aliveFraction.reset();
 }
 
 std::vector<peer_view::candidate> peer_view::candidates(const data_center_id &dataCenter,
@@ -219,8 +223,8 @@
     std::vector<candidate> found;
     for (const auto &each : m_members.members()) {
         const bool own = each.vm.vm == self();
-        const bool usable = each.state == member_state::Alive && !avoided(each.vm.vm)
-            && m_reach.reaches(each.vm.dataCenter);
+        const bool usable = each.state == member_state::Alive && !isAvoided(each.vm.vm)
+            && m_reachability.isReachable(each.vm.dataCenter);
         const bool there = (dataCenter.empty() || each.vm.dataCenter == dataCenter)
             && (region.empty() || each.vm.region == region);
         if (there && (usable || (own && each.state != member_state::Leaving)))
@@ -229,7 +233,7 @@
     return found;
 }
 
-std::vector<vm_id> peer_view::namesOf(const std::vector<candidate> &candidates)
+std::vector<vm_id> peer_view::idsOf(const std::vector<candidate> &candidates)
 {
     std::vector<vm_id> names;
     names.reserve(candidates.size());
@@ -238,19 +242,20 @@
     return names;
 }
 
-// A host's work grows with the data centre, and not with what it can do. Among several, hosts of
-// different pools are spread.
-std::vector<vm_id> peer_view::strongestOf(std::vector<candidate> candidates)
+// A host's load grows with the size of its data centre, regardless of its capacity, so hosts are
+// nodes of high capacity. There are several, so that hosts of different pools are spread.
+std::vector<vm_id> peer_view::highestCapacityOf(std::vector<candidate> candidates)
 {
-    if (candidates.size() > LeastHosts) {
+    if (candidates.size() > MinHostCandidates) {
         std::ranges::sort(candidates, std::greater{}, &candidate::capacity);
-        const auto least = candidates[LeastHosts - 1].capacity;
+        const auto least = candidates[MinHostCandidates - 1].capacity;
         std::erase_if(candidates, [&](const candidate &each) { return each.capacity < least; });
     }
-    return namesOf(candidates);
+    return idsOf(candidates);
 }
 
-// The pool of a data centre that has no node left is hosted elsewhere.
+// A pool whose data centre has no node left is hosted in another one: of its region where the pool
+// has one, else anywhere.
 vm_id peer_view::pickHost(const pool_key &pool) const
 {
     auto hosts = candidates(pool.dataCenter, pool.region);
@@ -258,7 +263,7 @@
         hosts = candidates({}, pool.region);
     if (hosts.empty())
         hosts = candidates({});
-    const auto picked = rendezvousPick(pool.service.value, strongestOf(std::move(hosts)), 1);
+    const auto picked = rendezvousPick(pool.service.value, highestCapacityOf(std::move(hosts)), 1);
     return picked.empty() ? self() : picked.front();
 }
 
@@ -266,7 +271,7 @@
 {
     if (m_relayOrder.empty()) {
         const auto nodes = candidates(m_identity.dataCenter);
-        m_relayOrder = rendezvousPick(RelayRole, namesOf(nodes), nodes.size());
+        m_relayOrder = rendezvousPick(RelayRoleKey, idsOf(nodes), nodes.size());
         std::map<vm_id, std::uint32_t> capacities;
         for (const auto &each : nodes)
             capacities.emplace(each.vm, each.capacity);
@@ -276,40 +281,40 @@
     return m_relayOrder;
 }
 
-std::vector<vm_id> peer_view::relaysIn(const data_center_id &dataCenter) const
+std::vector<vm_id> peer_view::broadcastRelaysIn(const data_center_id &dataCenter) const
 {
-    return rendezvousPick(RelayRole, strongestOf(candidates(dataCenter)), NewsRelays);
+    return rendezvousPick(RelayRoleKey, highestCapacityOf(candidates(dataCenter)), BroadcastRelays);
 }
 
 const std::vector<vm_id> &peer_view::newsReceivers()
 {
-    if (m_newsReceivers)
-        return *m_newsReceivers;
-    auto receivers = relaysIn(m_identity.dataCenter);
-    m_relaysNews = std::ranges::find(receivers, self()) != receivers.end();
-    if (m_relaysNews) {
-        receivers = namesOf(candidates(m_identity.dataCenter));
+    if (m_broadcastTargets)
+        return *m_broadcastTargets;
+    auto receivers = broadcastRelaysIn(m_identity.dataCenter);
+    m_isBroadcastRelay = std::ranges::find(receivers, self()) != receivers.end();
+    if (m_isBroadcastRelay) {
+        receivers = idsOf(candidates(m_identity.dataCenter));
         std::set<data_center_id> others;
         for (const auto &each : m_members.members())
             others.insert(each.vm.dataCenter);
         others.erase(m_identity.dataCenter);
         for (const auto &dataCenter : others)
-            std::ranges::copy(relaysIn(dataCenter), std::back_inserter(receivers));
+            std::ranges::copy(broadcastRelaysIn(dataCenter), std::back_inserter(receivers));
         std::erase(receivers, self());
     }
-    return m_newsReceivers.emplace(std::move(receivers));
+    return m_broadcastTargets.emplace(std::move(receivers));
 }
 
-bool peer_view::relaysNews()
+bool peer_view::isBroadcastRelay()
 {
     std::ignore = newsReceivers();
-    return m_relaysNews;
+    return m_isBroadcastRelay;
 }
 
 const vm_id &peer_view::quarantineHost()
 {
     if (!m_quarantineHost) {
-        const auto picked = rendezvousPick(QuarantineRole, strongestOf(candidates({})), 1);
+        const auto picked = rendezvousPick(QuarantineRoleKey, highestCapacityOf(candidates({})), 1);
         m_quarantineHost = picked.empty() ? self() : picked.front();
     }
     return *m_quarantineHost;
@@ -354,7 +359,7 @@
 void peer_view::announceLeaving(membership_actions &out)
 {
     m_members.announceLeaving(out);
-    forgetRoles();
+    invalidateRoles();
 }
 
 void peer_view::announceStopped(membership_actions &out)
--- a/src/gateway/peers/peer_view.h
+++ b/src/gateway/peers/peer_view.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/peers/data_center_reach.h"
+#include "gateway/peers/data_center_reachability.h"
 #include "gateway/servers/pool_key.h"
 
 #include <orchidlead/clock.h>
@@ -16,7 +16,7 @@
 
 namespace orchidlead::gateway {
 
-/// Who this node is among its peers, and whom it asks first.
+/// Identity of this node among its peers, and the nodes it contacts to join them.
 struct peer_identity
 {
     vm_id vm;
@@ -24,61 +24,66 @@
     region_id region;
     socket_address address;
     std::uint64_t incarnation = 0;
-    std::vector<socket_address> firstContacts; ///< may be away, and may hold this node itself
-    std::uint32_t capacity = 0; ///< in thousandths of a core; 0: not known
+    std::vector<socket_address> firstContacts; ///< some may be down; may hold this node itself
+    std::uint32_t capacity = 0; ///< in thousandths of a core; 0: unknown
 };
 
-/// The other nodes as this node believes them to be, and the roles that follow from it. No I/O.
+/// This node's view of cluster membership, and the role assignment derived from it. Does no I/O.
 ///
-/// Members find each other through first contacts and gossip; nothing lists them. What a node
-/// believes is soft: roles go to whom it believes alive, and moving one loses nothing but time.
+/// Members discover each other through first contacts and gossip; no list of members exists. Views
+/// may differ between nodes. Roles are assigned to members considered alive, and moving a role
+/// costs time but loses no state that matters.
 class peer_view
 {
 public:
-    /// `onHostChanged`: a pool that this node asks for has another host from now on.
+    /// `onHostChanged` is called when a pool that this node has looked up gets another host.
     peer_view(const clock_source &clock, const peer_identity &identity,
               std::function<void(const pool_key &, const vm_id &host)> onHostChanged);
 
-    /// Runs timers; call every 100 ms or so. Gives what is to be sent and what changed.
+    /// Runs timers; call about every 100 ms. Appends datagrams to send and changes to `out`.
     void tick(membership_actions &out);
     void onDatagram(const socket_address &from, std::string_view bytes, membership_actions &out);
-    /// Looks into data centres that are silent; call after `tick`. Gives what is new of them, and
-    /// which of them are to be asked through their servers.
-    [[nodiscard]] std::vector<reach_event> followReach(membership_actions &out);
-    /// A node or server of that data centre gave a sign of life.
-    void onHeardFrom(const data_center_id &which) { m_reach.onHeard(which); }
-    /// This node has work in that data centre: its silence matters.
-    void onUse(const data_center_id &which) { m_reach.onUse(which); }
-    /// A member changed its state: roles are picked anew.
-    void onMemberChanged() { forgetRoles(); }
-    /// A peer didn't answer: it gets no role for a while.
+    /// Probes the nodes of silent data centres; call after `tick`. Returns changes of reachability
+    /// and the data centres whose servers the caller is to probe.
+    [[nodiscard]] std::vector<reachability_event> updateReachability(membership_actions &out);
+    /// Records a message or answer from a node or server of the data centre.
+    void onLivenessSignalFrom(const data_center_id &which)
+    {
+        m_reachability.onLivenessSignal(which);
+    }
+    /// Records that this node has work in the data centre, so that its silence is noticed sooner.
+    void onUse(const data_center_id &which) { m_reachability.onUse(which); }
+    /// Reassigns roles after a member changed its state.
+    void onMemberChanged() { invalidateRoles(); }
+    /// Assigns no role to a peer for a while, since it did not answer.
     void avoid(const vm_id &peer);
 
     [[nodiscard]] const vm_id &self() const { return m_identity.vm; }
     [[nodiscard]] const region_id &region() const { return m_identity.region; }
-    /// Gives the node that hosts a pool as this node sees it; may be itself.
+    /// Returns the node that hosts a pool in this node's view; may be this node.
     [[nodiscard]] vm_id hostOf(const pool_key &pool);
-    /// Gives the nodes of the own data centre in the order in which what is published goes from one
-    /// to the next: the first ones read the store, those that can do more come first. Nodes that
-    /// believe the same members alive give the same order. Holds this node unless it leaves.
+    /// Returns the nodes of this data centre in the order in which they pass on publications, those
+    /// of higher capacity first. The first ones read the store. Nodes that consider the same
+    /// members alive return the same order. Contains this node unless it is leaving.
     [[nodiscard]] const std::vector<vm_id> &relayOrder();
-    /// Gives the nodes that this node tells what it hears first, so that all hear it in three
-    /// steps: two nodes of each data centre relay it to each other and to all of theirs, the others
-    /// tell the two of their own.
+    /// Returns the nodes that this node sends a broadcast to. A broadcast reaches all nodes in
+    /// three hops: a node sends it to the two relays of its own data centre, and the relays send it
+    /// to the relays of all other data centres and to all nodes of their own.
     [[nodiscard]] const std::vector<vm_id> &newsReceivers();
-    /// Whether this node is one of those two of its data centre.
-    [[nodiscard]] bool relaysNews();
-    /// Gives the node that decides on requests under which servers end; may be itself.
+    /// Whether this node is one of the two broadcast relays of its data centre.
+    [[nodiscard]] bool isBroadcastRelay();
+    /// Returns the node that decides on the quarantine of requests suspected of crashing servers;
+    /// may be this node.
     [[nodiscard]] const vm_id &quarantineHost();
-    /// Part of what each server of a pool bears from all nodes that this node may let go to it:
-    /// nothing where it isn't the pool's host, or has just started.
+    /// Returns the share of the total request rate limit of a pool's servers that this node may
+    /// use; 0 where this node is not the pool's host or has just started.
     [[nodiscard]] double rateShare(const pool_key &pool);
     [[nodiscard]] std::optional<member> find(const vm_id &peer) const;
-    /// Peers that are believed alive, nearest first.
+    /// Returns the peers considered alive, those of this data centre first.
     [[nodiscard]] std::vector<vm_id> peers() const;
-    /// How many members are in each state, this node included.
+    /// Returns the number of members in each state, this node included.
     [[nodiscard]] std::map<std::string, std::size_t> countByState() const;
-    /// How many nodes there may be, this one and those given up lately included.
+    /// Returns the number of known nodes, this node and recently failed ones included.
     [[nodiscard]] std::size_t nodes() const;
 
     void setVersion(std::uint64_t version);
@@ -86,52 +91,54 @@
     void announceStopped(membership_actions &out);
 
 private:
-    /// A pool's host, as picked when members or avoided peers last changed.
-    struct picked_host
+    /// A pool's host, valid until members, reachability or avoided peers change.
+    struct cached_host
     {
         vm_id vm;
         bool current = false;
     };
 
-    void contactOthers(membership_actions &out);
-    /// Asks some nodes of a data centre for a sign of life, others each time.
-    void askIn(const data_center_id &dataCenter, std::size_t count, membership_actions &out);
-    void forgetRoles();
-    /// The part of the nodes that this node knows which it believes alive; none while it has just
-    /// started and may not know the others.
-    [[nodiscard]] double partAlive() const;
-    [[nodiscard]] bool avoided(const vm_id &peer) const;
-    [[nodiscard]] std::vector<vm_id> relaysIn(const data_center_id &dataCenter) const;
+    void contactSilentMembers(membership_actions &out);
+    /// Probes `count` nodes of a data centre, in round-robin order over calls.
+    void probeDataCenter(const data_center_id &dataCenter, std::size_t count,
+                         membership_actions &out);
+    void invalidateRoles();
+    /// Returns the fraction of known nodes that may hold a role; 0 shortly after the start, when
+    /// this node may not know the others yet.
+    [[nodiscard]] double aliveFraction() const;
+    [[nodiscard]] bool isAvoided(const vm_id &peer) const;
+    [[nodiscard]] std::vector<vm_id> broadcastRelaysIn(const data_center_id &dataCenter) const;
     [[nodiscard]] vm_id pickHost(const pool_key &pool) const;
-    /// A member that may have a role.
+    /// A member that a role may be assigned to.
     struct candidate
     {
         vm_id vm;
         std::uint32_t capacity = 0;
     };
 
-    /// Members that are alive and not avoided; this node unless it leaves. Of one data centre, of
-    /// one region, or, where neither is named, of all.
+    /// Returns members that are alive, reachable and not avoided, and this node unless it is
+    /// leaving. An empty data centre or region matches all.
     [[nodiscard]] std::vector<candidate> candidates(const data_center_id &dataCenter,
                                                     const region_id &region = {}) const;
-    [[nodiscard]] static std::vector<vm_id> namesOf(const std::vector<candidate> &candidates);
-    /// Those that can do most: some at least, and all that can do as much as the last of them.
-    [[nodiscard]] static std::vector<vm_id> strongestOf(std::vector<candidate> candidates);
+    [[nodiscard]] static std::vector<vm_id> idsOf(const std::vector<candidate> &candidates);
+    /// Returns the candidates of highest capacity: at least `MinHostCandidates` where there are so
+    /// many, and all others of the same capacity as the last of these.
+    [[nodiscard]] static std::vector<vm_id> highestCapacityOf(std::vector<candidate> candidates);
 
     const clock_source &m_clock;
     peer_identity m_identity;
     std::function<void(const pool_key &, const vm_id &)> m_onHostChanged;
     membership m_members;
-    data_center_reach m_reach;
+    data_center_reachability m_reachability;
     std::map<vm_id, steady_time> m_avoided;
-    std::map<pool_key, picked_host> m_hosts;
-    std::vector<vm_id> m_relayOrder; ///< empty: not picked since something changed
-    std::optional<std::vector<vm_id>> m_newsReceivers; ///< empty: as above
-    bool m_relaysNews = false; ///< as `m_newsReceivers` was picked
-    std::optional<vm_id> m_quarantineHost; ///< empty: as above
-    mutable std::optional<double> m_partAlive; ///< empty: as above
-    std::size_t m_lastAsked = 0; ///< turns through the members of a silent data centre
-    std::size_t m_lastContacted; ///< the same through members of which nothing is heard
+    std::map<pool_key, cached_host> m_hosts;
+    std::vector<vm_id> m_relayOrder; ///< cache; empty: to be computed
+    std::optional<std::vector<vm_id>> m_broadcastTargets; ///< cache
+    bool m_isBroadcastRelay = false; ///< computed with `m_broadcastTargets`
+    std::optional<vm_id> m_quarantineHost; ///< cache
+    mutable std::optional<double> m_aliveFraction; ///< cache
+    std::size_t m_nextProbeIndex = 0; ///< round robin over members of a silent data centre
+    std::size_t m_nextContactIndex; ///< round robin over silent members and first contacts
     steady_time m_nextContact{};
     steady_time m_startedAt;
 };
--- a/tests/gateway/peer_frames_test.cpp
+++ b/tests/gateway/peer_frames_test.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("a piece travels with all that its call needs")
+TEST_CASE("a piece frame keeps all fields that the stage call needs")
 {
     const auto read = roundTrip(makePiece());
     CHECK(read.token == 7);
@@ -56,7 +56,7 @@
     CHECK(read.resultBytes == 1'500'000);
 }
 
-TEST_CASE("outcomes travel as handles or as reasons")
+TEST_CASE("an outcome frame keeps a result handle or a failure reason")
 {
     const outcome_frame made{1, {std::string("h/1"), milliseconds{70}}};
     CHECK(std::get<std::string>(roundTrip(made).report.result) == "h/1");
@@ -68,8 +68,9 @@
     }
 }
 
-// Guards against bounds that a list of thousands of servers passes, and against its size on links.
-TEST_CASE("a list of twenty thousand servers travels whole, in a third of its bytes")
+// Guards against limits that a list of thousands of servers exceeds, and against the bandwidth it
+// takes uncompressed.
+TEST_CASE("a list of twenty thousand servers is decoded whole from a third of its bytes")
 {
     publication_frame frame;
     frame.compared = true;
@@ -92,7 +93,7 @@
     CHECK(read.servers.back().record == frame.servers.back().record);
 }
 
-TEST_CASE("a compressed frame that is damaged or cut short is no frame, whatever is wrong with it")
+TEST_CASE("a damaged or truncated compressed frame is always rejected")
 {
     publication_frame frame;
     for (int i = 0; i < 400; ++i) {
@@ -113,11 +114,11 @@
         refused += decodeFrame(damaged) ? 0 : 1;
         CHECK_FALSE(decodeFrame(whole.substr(0, place(random))));
     }
-    // What zlib holds has a checksum.
+    // zlib data carries a checksum, so each damage is detected.
     CHECK(refused == 300);
 }
 
-TEST_CASE("a publication travels with its servers")
+TEST_CASE("a publication frame keeps its servers and all other fields")
 {
     publication_frame frame;
     frame.age = milliseconds{120};
@@ -155,7 +156,7 @@
     CHECK(read.removalsDeferred == milliseconds{2300});
 }
 
-TEST_CASE("that a node follows, or ends to, travels")
+TEST_CASE("follow, compare and publication request frames keep their fields")
 {
     list_digest known{};
     known[3] = 0xfffffffe;
@@ -169,7 +170,7 @@
     CHECK(roundTrip(publication_request{7, known}).configurationVersion == 7);
 }
 
-TEST_CASE("a configuration travels as it was published")
+TEST_CASE("a configuration frame keeps the text as published")
 {
     std::string text;
     for (int i = 0; i < 2000; ++i)
@@ -183,7 +184,7 @@
     CHECK(back.value() == text);
 }
 
-TEST_CASE("a wish for an engine travels with its prompt")
+TEST_CASE("a place frame keeps the prompt and the excluded servers")
 {
     place_frame frame;
     frame.id = 5;
@@ -199,7 +200,7 @@
     CHECK(read.wish.exclude == frame.wish.exclude);
 }
 
-TEST_CASE("where a request goes, and when, travels with what its server told")
+TEST_CASE("placed and progress frames keep server, wait and server signals")
 {
     const auto placed = roundTrip(placed_frame{3, backend_server_id("s1"), milliseconds{70}, true});
     CHECK(placed.server.value == "s1");
@@ -216,7 +217,7 @@
     CHECK(told.signals.leaving);
     CHECK(told.signals.refused);
     CHECK_FALSE(told.signals.taken);
-    // It binds the node that was asked alone.
+    // A retry delay applies only to the node that received it, so it is not sent.
     CHECK_FALSE(told.signals.retryAfter);
     CHECK(told.signals.rateLimit.readable);
     CHECK(told.signals.rateLimit.perSecond == 2.5);
@@ -224,7 +225,7 @@
         roundTrip(progress_frame{3, progress_frame::what::Ended, {}}).signals.rateLimit.perSecond);
 }
 
-TEST_CASE("an admission is asked for by rank, and answered with when to come back")
+TEST_CASE("admission frames keep the rank of the request and the retry time of the answer")
 {
     admission_request frame;
     frame.id = 9;
@@ -244,7 +245,7 @@
     CHECK(answer.told.allBounded);
 }
 
-TEST_CASE("limits travel with the start of their server and how long ago they were heard")
+TEST_CASE("a rate limits frame keeps server start and age of each limit, and rejects negative ones")
 {
     rate_limits_frame frame;
     frame.limits = {{{backend_server_id("s1"), 77}, 0.5, milliseconds{20}},
@@ -260,7 +261,7 @@
     CHECK_FALSE(decodeFrame(encodeFrame(frame).substr(FrameHeaderBytes)));
 }
 
-TEST_CASE("frames that come in pieces are put together")
+TEST_CASE("frames that arrive byte by byte are reassembled")
 {
     const auto bytes = encodeFrame(makePiece()) + encodeFrame(ping_frame{});
     frame_splitter splitter;
@@ -273,13 +274,13 @@
     CHECK(frames == 2);
 }
 
-TEST_CASE("a frame beyond the bound ends the stream")
+TEST_CASE("a frame above the size limit is an error of the stream")
 {
     frame_splitter splitter;
     CHECK_FALSE(splitter.feed(std::string("\x7f\xff\xff\xff", 4)));
 }
 
-TEST_CASE("damaged frames are refused or read as frames, and never more than that")
+TEST_CASE("decoding damaged frames either fails or gives a frame, without crashing")
 {
     std::mt19937 random(20261202);
     const auto whole = encodeFrame(makePiece());
@@ -294,7 +295,7 @@
     SUCCEED();
 }
 
-TEST_CASE("ends of servers travel with the requests that were there")
+TEST_CASE("a server ends frame keeps the interrupted requests of each server")
 {
     const auto digest = requestDigestOf({customer_id("c"), "h", "/p", "body"});
     const server_ends_frame told{
@@ -310,7 +311,7 @@
     CHECK(read.ends[1].requests.empty());
 }
 
-TEST_CASE("how requests are treated travels with its version")
+TEST_CASE("a quarantine frame keeps level, version and remaining time of each request")
 {
     const auto digest = requestDigestOf({customer_id("c"), "h", "/p", "body"});
     for (const auto &row : enumNames<quarantine_level>) {
@@ -327,7 +328,7 @@
     }
 }
 
-TEST_CASE("a trial is asked for, answered and ended by the request's digest")
+TEST_CASE("trial frames keep the digest of the request")
 {
     const auto digest = requestDigestOf({customer_id("c"), "h", "/p", "body"});
     CHECK(roundTrip(trial_request{digest}).request == digest);
@@ -339,7 +340,7 @@
     }
 }
 
-TEST_CASE("servers that leave travel with their starts")
+TEST_CASE("a leaving servers frame keeps the start of each server")
 {
     leaving_servers_frame frame;
     frame.servers = {{backend_server_id("i-1"), 1000}, {backend_server_id("i-2"), std::nullopt}};
@@ -347,7 +348,7 @@
     CHECK(got.servers == frame.servers);
 }
 
-TEST_CASE("a lost data centre travels by its name")
+TEST_CASE("a lost data centre frame keeps the name of the data centre")
 {
     CHECK(roundTrip(lost_data_center_frame{data_center_id("dc-1")}).dataCenter.value == "dc-1");
 }
--- a/tests/gateway/peer_view_test.cpp
+++ b/tests/gateway/peer_view_test.cpp
@@ -14,19 +14,19 @@
 namespace {
 
 constexpr std::size_t DataCenters = 6;
-/// All machines start within this time.
-constexpr milliseconds StartWithin{300};
+/// All nodes start within this time.
+constexpr milliseconds StartWindow{300};
 
-/// Every host of the pool, and every first reader, that some running node names.
-struct named_roles
+/// All hosts of a pool, and all first readers of the store, in the views of the running nodes.
+struct role_holders
 {
     std::set<std::string> hosts;
     std::set<std::string> readers;
 };
 
-named_roles rolesSeen(peer_fleet &fleet, const std::string &dataCenter)
+role_holders roleHoldersSeen(peer_fleet &fleet, const std::string &dataCenter)
 {
-    named_roles seen;
+    role_holders seen;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         auto &view = fleet.view(i);
         seen.hosts.insert(view.hostOf({service_id("stage"), data_center_id(dataCenter)}).value);
@@ -36,10 +36,10 @@
     return seen;
 }
 
-void checkSentToGone(std::size_t nodes)
+void checkBytesSentWithDataCenterDown(std::size_t nodes)
 {
     peer_fleet fleet(nodes, DataCenters, 41);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{10'000});
     REQUIRE(fleet.agreed());
     for (std::size_t node = 0; node < nodes; node += DataCenters)
@@ -53,10 +53,10 @@
     CHECK(fleet.meanBytesSent() / Seconds <= 2500);
 }
 
-void checkSentFar(std::size_t nodes)
+void checkBytesSentToOtherDataCenters(std::size_t nodes)
 {
     peer_fleet fleet(nodes, DataCenters, 37);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{20'000});
     fleet.forgetTraffic();
     constexpr std::size_t Seconds = 5;
@@ -67,56 +67,56 @@
 
 } // namespace
 
-// Until nodes agree on who is there they name several hosts for one pool, and each of these fills
-// the servers with results of which the others know nothing. So the time until they agree is time
-// without service after a mass start, and it must not grow with the fleet.
-TEST_CASE("hundreds of nodes that start at once agree on who is there within two seconds")
+// Until nodes agree on the members they have several hosts for one pool, and each of these fills
+// the servers with results that the others do not know. The time until they agree after a mass
+// start is therefore time without service, and must not grow with the fleet.
+TEST_CASE("hundreds of nodes that start at once agree on the members within two seconds")
 {
     const std::size_t nodes = GENERATE(30, 100, 350);
     peer_fleet fleet(nodes, DataCenters, 7);
-    fleet.startAll(StartWithin);
-    fleet.run(StartWithin);
+    fleet.startAll(StartWindow);
+    fleet.run(StartWindow);
     const auto taken = fleet.runUntilAgreed(milliseconds{10'000});
     INFO(nodes << " nodes agreed after " << taken.count() << " ms");
     CHECK(taken <= milliseconds{2000});
-    const auto seen = rolesSeen(fleet, "dc-1");
+    const auto seen = roleHoldersSeen(fleet, "dc-1");
     CHECK(seen.hosts.size() == 1);
     CHECK(seen.readers.size() == 1);
 }
 
-TEST_CASE("hundreds of nodes that are killed and start again agree as fast as at first")
+TEST_CASE("hundreds of nodes that are killed and restarted agree on the members within two seconds")
 {
     peer_fleet fleet(350, DataCenters, 11);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
     REQUIRE(fleet.agreed());
     fleet.killAll();
     fleet.run(milliseconds{1000});
-    fleet.startAll(StartWithin);
-    fleet.run(StartWithin);
+    fleet.startAll(StartWindow);
+    fleet.run(StartWindow);
     const auto taken = fleet.runUntilAgreed(milliseconds{10'000});
     INFO("agreed after " << taken.count() << " ms");
     CHECK(taken <= milliseconds{2000});
 }
 
-// What a first contact sends would keep the smallest link, 10 Mbit/s, busy for a quarter of a
-// second: 300 KB.
-TEST_CASE("in a mass start a node sends its table about once, and a first contact some times")
+// The 300 KB that a first contact sends would occupy the slowest link, 10 Mbit/s, for a quarter of
+// a second.
+TEST_CASE("in a mass start a node sends its member table about once, a first contact a few times")
 {
     peer_fleet fleet(350, DataCenters, 13);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
     INFO("most " << fleet.mostBytesSent() << ", mean " << fleet.meanBytesSent() << " bytes in 5 s");
     CHECK(fleet.mostBytesSent() <= 350'000);
     CHECK(fleet.meanBytesSent() <= 60'000);
 }
 
-// The budget of a node for all of control is 6 KB a second.
-TEST_CASE("in calm times what a node sends of membership doesn't grow with the fleet")
+// The budget of a node for all control traffic is 6 KB/s.
+TEST_CASE("without changes the membership traffic of a node does not grow with the fleet")
 {
     const std::size_t nodes = GENERATE(30, 350);
     peer_fleet fleet(nodes, DataCenters, 17);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{20'000});
     fleet.forgetTraffic();
     constexpr std::size_t Seconds = 5;
@@ -126,29 +126,29 @@
     CHECK(fleet.meanBytesSent() / Seconds <= 1300);
 }
 
-// All of control may take 6 KB a second of a node; what goes to all other data centres is a tenth
-// of it or less.
-TEST_CASE("nodes that have no work in other data centres send little there: 30 and 120 nodes")
+// The budget of a node for all control traffic is 6 KB/s. The traffic to all other data centres may
+// take a tenth of it at most.
+TEST_CASE("nodes without work in other data centres send them at most 600 bytes/s: 30, 120 nodes")
 {
-    checkSentFar(30);
-    checkSentFar(120);
+    checkBytesSentToOtherDataCenters(30);
+    checkBytesSentToOtherDataCenters(120);
 }
 
-TEST_CASE("nodes that have no work in other data centres send little there: 350 nodes")
+TEST_CASE("nodes without work in other data centres send them at most 600 bytes/s: 350 nodes")
 {
-    checkSentFar(350);
+    checkBytesSentToOtherDataCenters(350);
 }
 
-// The pattern: thin traffic, where each node has work in some other data centre every few seconds.
-TEST_CASE("nodes that have work in other data centres now and then send little more")
+// Sparse traffic: each node has work in some other data centre every few seconds.
+TEST_CASE("nodes with occasional work in other data centres send them at most 2000 bytes/s")
 {
     peer_fleet fleet(240, DataCenters, 43);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{15'000});
     fleet.forgetTraffic();
     constexpr std::size_t Seconds = 6;
     constexpr std::size_t TurnsASecond = 10;
-    // Each node has work somewhere else every three seconds.
+    // Each node has work in another data centre every three seconds.
     constexpr std::size_t Turn = 3 * TurnsASecond;
     for (std::size_t step = 0; step < TurnsASecond * Seconds; ++step) {
         for (std::size_t node = step % Turn; node < fleet.size(); node += Turn)
@@ -160,24 +160,25 @@
     CHECK(fleet.meanBytesSentFar() / Seconds <= 2000);
 }
 
-// The pattern: all of a data centre is gone. Guards against nodes that each ask all that are gone
-// again and again, which grows with the square of the fleet. All of control may take 6 KB a second.
-TEST_CASE("what a node sends to those that are gone doesn't grow with the fleet: 60 nodes")
+// All nodes of a data centre are down. Guards against every node contacting every failed member
+// again and again, which grows with the square of the fleet. The budget of a node for all control
+// traffic is 6 KB/s.
+TEST_CASE("traffic to failed members does not grow with the fleet: 60 nodes")
 {
-    checkSentToGone(60);
+    checkBytesSentWithDataCenterDown(60);
 }
 
-TEST_CASE("what a node sends to those that are gone doesn't grow with the fleet: 240 nodes")
+TEST_CASE("traffic to failed members does not grow with the fleet: 240 nodes")
 {
-    checkSentToGone(240);
+    checkBytesSentWithDataCenterDown(240);
 }
 
-// Platforms give a fleet 12 s and more until it serves as before. Guards against members that are
-// taken for dead and don't hear of it, so that they can't say that they live.
-TEST_CASE("all know each other again in time after a data centre was cut off")
+// Platforms allow a fleet 12 s or more to serve as before. Guards against members that are
+// considered dead but never learn of it, and so cannot refute it.
+TEST_CASE("all nodes agree on the members within six seconds after a partition heals")
 {
     peer_fleet fleet(120, DataCenters, 53);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{10'000});
     REQUIRE(fleet.agreed());
     fleet.cutOff(data_center_id("dc-0"));
@@ -188,10 +189,10 @@
     CHECK(taken <= milliseconds{6000});
 }
 
-TEST_CASE("a third of the fleet that restarts is known again within three seconds")
+TEST_CASE("all nodes agree on the members within three seconds after a third of them restarted")
 {
     peer_fleet fleet(300, DataCenters, 19);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{15'000});
     REQUIRE(fleet.agreed());
     std::vector<std::size_t> third;
@@ -200,21 +201,22 @@
     for (const auto each : third)
         fleet.kill(each);
     fleet.run(milliseconds{1000});
-    fleet.start(third, StartWithin);
-    fleet.run(StartWithin);
+    fleet.start(third, StartWindow);
+    fleet.run(StartWindow);
     const auto taken = fleet.runUntilAgreed(milliseconds{10'000});
     INFO("agreed after " << taken.count() << " ms");
     CHECK(taken <= milliseconds{3000});
 }
 
-// The pattern: a few large nodes among many small ones. A host's work goes with its data centre.
-TEST_CASE("nodes that can do more host pools and read the store, as long as there are some")
+// A few large nodes among many small ones. A host's load grows with the size of its data centre, so
+// hosts need capacity.
+TEST_CASE("nodes of higher capacity host pools and read the store while there are enough of them")
 {
     constexpr std::size_t Large = 6;
     peer_fleet fleet(60, 2, 47);
     for (std::size_t node = 0; node < fleet.size(); ++node)
         fleet.setCapacity(node, node < 2 * Large ? 500 : 120);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
     REQUIRE(fleet.agreed());
     std::set<vm_id> large;
@@ -232,7 +234,7 @@
     const auto &order = view.relayOrder();
     CHECK(std::all_of(order.begin(), order.begin() + Large,
                       [&](const vm_id &each) { return large.contains(each); }));
-    // Two large ones are too few to bear all: then all count.
+    // Two large nodes are too few for the load, so small nodes host pools, too.
     for (std::size_t node = 0; node < 2 * (Large - 2); ++node)
         fleet.kill(node);
     fleet.run(milliseconds{6000});
@@ -242,10 +244,10 @@
     CHECK(hosts.size() > 2);
 }
 
-TEST_CASE("a peer that didn't answer has no role for a while, and then again")
+TEST_CASE("a peer that did not answer loses its roles for a while and then regains them")
 {
     peer_fleet fleet(12, 2, 23);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
     REQUIRE(fleet.agreed());
     auto &view = fleet.view(0);
@@ -257,10 +259,10 @@
     CHECK(view.hostOf(pool) == host);
 }
 
-TEST_CASE("a data centre that was lost hosts nothing until it is reached again")
+TEST_CASE("nodes of a lost data centre host no pool until the data centre is reachable again")
 {
     peer_fleet fleet(12, 2, 29);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
     REQUIRE(fleet.agreed());
     auto &view = fleet.view(0);
@@ -275,13 +277,13 @@
     CHECK(view.find(view.hostOf(pool))->vm.dataCenter.value == "dc-1");
 }
 
-// Guards against nodes that aren't told what another one heard, and against frames that grow with
-// the square of the fleet.
-TEST_CASE("news of any node reaches all nodes in three steps, by few frames")
+// Guards against broadcasts that miss nodes, and against a number of frames that grows with the
+// square of the fleet.
+TEST_CASE("a broadcast of any node reaches all nodes in three hops with few frames")
 {
     constexpr std::size_t Nodes = 60;
     peer_fleet fleet(Nodes, DataCenters, 31);
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
     REQUIRE(fleet.agreed());
     std::map<vm_id, std::size_t> places;
@@ -301,21 +303,22 @@
         INFO("node " << origin << ", " << frames << " frames");
         CHECK(told.size() == Nodes);
         CHECK(std::ranges::all_of(steps, [](const auto &entry) { return entry.second <= 3; }));
-        // The relays' own, and two from each other node.
+        // Frames sent by the relays, and two by each other node.
         const std::size_t relays = 2 * DataCenters;
         CHECK(frames <= relays * (Nodes / DataCenters + relays) + 2 * Nodes);
     }
 }
 
-// The pattern: hundreds of nodes with little work, of which few have some in a data centre that is
-// cut off. Each of the others would find the cut with its next requests.
-TEST_CASE("all nodes lose a data centre soon after the first of them that has work there")
+// Hundreds of nodes with little work, of which few have work in the data centre that is cut off.
+// Without the broadcast, each of the others would detect the partition only when its next requests
+// fail.
+TEST_CASE("all nodes detect the loss of a data centre soon after the first node with work there")
 {
     const std::size_t nodes = GENERATE(60, 180);
     peer_fleet fleet(nodes, DataCenters, 43);
     const data_center_id cut("dc-1");
-    fleet.startAll(StartWithin);
-    fleet.run(milliseconds{10'000}); // by then each node has heard of each data centre
+    fleet.startAll(StartWindow);
+    fleet.run(milliseconds{10'000}); // by then each node has received messages of each data centre
     fleet.view(0).onUse(cut);
     fleet.cutOff(cut);
     fleet.run(milliseconds{1500});
@@ -323,13 +326,13 @@
     CHECK(fleet.nodesThatLost(cut) == nodes - nodes / DataCenters);
 }
 
-// What one node loses may be its own link.
-TEST_CASE("a data centre that one node alone can't reach is lost by that node alone")
+// The fault may be the node's own link.
+TEST_CASE("a data centre that only one node cannot reach is considered lost by that node only")
 {
     constexpr std::size_t Nodes = 60;
     peer_fleet fleet(Nodes, DataCenters, 47);
     const data_center_id unreached("dc-1");
-    fleet.startAll(StartWithin);
+    fleet.startAll(StartWindow);
     fleet.run(milliseconds{10'000});
     fleet.view(0).onUse(unreached);
     fleet.cut([&](std::size_t from, std::size_t to) {
