--- a/src/gateway/codec.h
+++ b/src/gateway/codec.h
@@ -23,95 +23,95 @@
     std::uint32_t tokens = 0;
 };
 
-/// How old an answer of the store may be.
+/// Consistency of a read from the store.
 enum class read_freshness {
     Latest,
-    MayBeOld, ///< by seconds; a tenth of the price, and not counted against the store's rate
+    MayBeOld, ///< stale by seconds; costs a tenth and does not count against the store's rate limit
 };
 
-/// What a client's request says about itself.
+/// Metadata of a client's request.
 struct request_marks
 {
-    std::string attempt; ///< names this attempt of the client; servers echo it
+    std::string attempt; ///< the client's identifier of this attempt; servers echo it
     std::string host;
     std::optional<milliseconds> patience; ///< how long the client waits
-    std::string key; ///< of a customer
-    std::optional<std::uint64_t> lastEvent; ///< the stream goes on behind this event
+    std::string key; ///< the customer's API key
+    std::optional<std::uint64_t> lastEvent; ///< the stream resumes after this event
     std::vector<prompt_part> prompt; ///< parts in order
     std::uint32_t promptTokens = 0;
-    std::uint32_t answerTokens = 0; ///< at most
-    std::vector<std::uint32_t> pieceCounts; ///< of each stage
-    std::string pieceKey; ///< what the pieces without inputs are made from
-    std::uint32_t forgedFields = 0; ///< that only the system may set; they go to no server
+    std::uint32_t answerTokens = 0; ///< upper limit
+    std::vector<std::uint32_t> pieceCounts; ///< per stage
+    std::string pieceKey; ///< input key of the pieces of stages without inputs
+    std::uint32_t forgedFields = 0; ///< fields that only the system may set; sent to no server
 };
 
-/// What the system says to a server about a request that it sends.
+/// Metadata that the gateway sends to a server with a request.
 struct server_marks
 {
-    milliseconds patience{0}; ///< what is left
-    backend_server_id instance; ///< another server must refuse it
+    milliseconds patience{0}; ///< remaining time
+    backend_server_id instance; ///< intended server; any other server must refuse the request
     customer_id customer;
     std::optional<std::uint32_t> priority;
     std::optional<std::uint64_t> lastEvent;
-    std::optional<std::vector<std::string>> inputs; ///< handles; only of routes with stages
+    std::optional<std::vector<std::string>> inputs; ///< result handles; only for routes with stages
 };
 
-/// What a server's answer says about itself.
+/// Metadata of a server's answer.
 struct answer_marks
 {
-    std::string attempt; ///< of the request that it answers; empty: it doesn't say
+    std::string attempt; ///< attempt identifier of the answered request; empty: not stated
     bool signedByServer = false;
-    bool notRun = false; ///< the server says that it has not run the request
+    bool notRun = false; ///< the server states that it has not run the request
     server_signals server;
 };
 
-/// One piece of a stage, as a server is asked for it.
+/// One piece of a stage, as requested from a server.
 struct piece_request
 {
-    std::string attempt; ///< the client's request
+    std::string attempt; ///< attempt identifier of the client's request
     std::uint32_t stage = 0;
-    std::uint32_t piece = 0; ///< from 0
-    std::optional<milliseconds> patience; ///< the server doesn't begin later
+    std::uint32_t piece = 0; ///< index from 0
+    std::optional<milliseconds> patience; ///< the server does not start the piece after this time
     std::string key; ///< for stages without inputs
-    std::vector<std::string> inputs; ///< handles
-    request_digest digest{}; ///< of the client's request; stays between the nodes
+    std::vector<std::string> inputs; ///< result handles
+    request_digest digest{}; ///< of the client's request; sent between nodes only, not to servers
 };
 
-/// Why a server didn't do a piece.
+/// Why a piece has no result. Gateways, not servers, set the reasons from `Evacuated` on.
 enum class piece_failure {
-    Late, ///< its patience was over
+    Late, ///< the piece's patience was over
     InputGone,
     NoRoom,
     Error,
-    Evacuated, ///< no server gave it up: those of its pool get nothing new
-    ServersLeaving, ///< likewise: those of its pool end soon
-    ServersBackedOff, ///< likewise: those of its pool asked the host for time
-    HostUnready, ///< likewise: the host has just started and knows no servers yet
-    Unreached, ///< the servers of its pool that were tried couldn't be reached
+    Evacuated, ///< the servers of the pool get no new work: their data centre is evacuated
+    ServersLeaving, ///< the servers of the pool are leaving
+    ServersBackedOff, ///< the servers of the pool asked the host to back off
+    HostUnready, ///< the host has just started and knows no servers yet
+    Unreached, ///< the servers of the pool that were tried could not be reached
 };
 
-/// Whether a host gave the piece up since no server of its pool gets anything new: another pool's
-/// may.
+/// Whether a host rejected the piece because no server of its pool gets new work. Servers of
+/// another pool may still take it.
 [[nodiscard]] constexpr bool poolIsClosed(piece_failure failure)
 {
     return failure == piece_failure::Evacuated || failure == piece_failure::ServersLeaving
         || failure == piece_failure::ServersBackedOff;
 }
 
-/// A handle of the result, or why there is none.
+/// The handle of a result, or the reason why there is none.
 using piece_result = std::variant<std::string, piece_failure>;
 
-/// Says why a text from outside can't be used.
+/// Reason why a text from a client, server or the store could not be parsed.
 struct codec_error
 {
     std::string what;
 };
 
-/// One change of what the platform publishes.
+/// A server was published or changed.
 struct published_server
 {
     server_record record;
-    milliseconds coldFor{0}; ///< from the moment at which this was told
+    milliseconds coldFor{0}; ///< remaining cold time when this was sent
 };
 struct removed_server
 {
@@ -120,16 +120,16 @@
 struct published_configuration
 {
     configuration content;
-    std::string text; ///< as published, to be handed to peers
+    std::string text; ///< as published, for sending to peers
 };
-/// Operators evacuate a data centre, or give it back.
+/// Operators evacuated a data centre, or ended its evacuation.
 struct published_evacuation
 {
     data_center_id dataCenter;
     bool evacuated = true;
-    std::uint64_t revision = 0; ///< of the store, at which that was written
+    std::uint64_t revision = 0; ///< store revision of the change
 };
-/// An item that can't be read. The state before it stays.
+/// An item that cannot be parsed. The state before it stays in force.
 struct unreadable_item
 {
     std::string key;
@@ -138,17 +138,17 @@
 using published_item = std::variant<published_server, removed_server, published_configuration,
                                     published_evacuation, unreadable_item>;
 
-/// A page of the store, or the changes that a watch brought.
+/// A page of a list read from the store, or the changes returned by a watch.
 struct published_page
 {
     std::vector<published_item> items;
     std::uint64_t revision = 0; ///< of the store
-    std::string lastKey; ///< where the next page begins
+    std::string lastKey; ///< the next page begins after this key
     bool more = false;
 };
 
-/// Translates between the gateway's values and one platform's formats. Has no state and takes no
-/// decision.
+/// Translates between the gateway's types and one platform's wire formats. Stateless, and free of
+/// decisions.
 template <class Codec>
 concept gateway_codec = requires(const http::request_head &request,
                                  const http::response_head &answer, http::field_list &fields,
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -16,13 +16,14 @@
 
 namespace {
 
-// Seconds; from a plain request's work to the longest route's timeout.
+// Seconds; from the processing time of a plain request to the timeout of the slowest route.
 const prometheus::Histogram::BucketBoundaries timeBuckets{0.01, 0.03, 0.1, 0.3,  1.0, 1.6,
                                                           2.5,  3.6,  6.0, 10.0, 20.0};
-// Pieces; the batches published so far go up to 54.
+// Pieces per call; published batch sizes go up to 54 so far.
 const prometheus::Histogram::BucketBoundaries pieceBuckets{1, 2, 4, 8, 16, 32, 64};
 
-// Rows of their own: services of a site so far are 5, routes up to some hundred at times.
+// Limits of series per family. A site has 5 services so far, and up to some hundred routes at
+// times.
 constexpr std::size_t MaxServices = 32;
 constexpr std::size_t MaxRouteRows = 256;
 
@@ -31,7 +32,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-std::string labelOf(std::string_view name)
+std::string toLabel(std::string_view name)
 {
     return std::string(name);
 }
@@ -123,12 +124,13 @@
 
 gateway_metrics::~gateway_metrics() = default;
 
-void gateway_metrics::onRequest(const route *way, request_outcome outcome, milliseconds took)
+void gateway_metrics::onRequest(const route *matchedRoute, request_outcome outcome,
+                                milliseconds took)
 {
-    const auto name = way ? labelOf(toName(way->kind)) : "none";
-    if (way)
-        m_families->routeOutcomes.at({way->name, labelOf(toName(outcome))}).Increment();
-    m_families->requests.Add({{"kind", name}, {"outcome", labelOf(toName(outcome))}}).Increment();
+    const auto name = matchedRoute ? toLabel(toName(matchedRoute->kind)) : "none";
+    if (matchedRoute)
+        m_families->routeOutcomes.at({matchedRoute->name, toLabel(toName(outcome))}).Increment();
+    m_families->requests.Add({{"kind", name}, {"outcome", toLabel(toName(outcome))}}).Increment();
     m_families->durations.Add({{"kind", name}}, timeBuckets).Observe(seconds(took));
 }
 
@@ -144,7 +146,7 @@
 
 void gateway_metrics::onStageCall(const service_id &service, const stage_call_report &call)
 {
-    m_families->stageCalls.Add({{"end", labelOf(toName(call.end))}}).Increment();
+    m_families->stageCalls.Add({{"end", toLabel(toName(call.end))}}).Increment();
     m_families->stagePieces.Observe(static_cast<double>(call.pieces));
     m_families->stageWaits.at({service.value}).Observe(seconds(call.longestWait));
     m_families->stageTimes.at({service.value}).Observe(seconds(call.took));
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -16,41 +16,42 @@
 
 namespace orchidlead::gateway {
 
-/// What the node is like when it is asked.
+/// Current state of the node, sampled when metrics are read.
 struct gateway_gauges
 {
     bool ready = false;
     bool storeConnected = false;
     std::uint64_t configurationVersion = 0;
-    std::size_t connections = 0; ///< of clients
+    std::size_t connections = 0; ///< client connections
     std::size_t answering = 0; ///< requests without a final answer
-    std::size_t servers = 0; ///< that may get work
-    std::size_t coldServers = 0; ///< of these, that bear only few requests yet
-    std::size_t limitedServers = 0; ///< of these, that name a limit to this node
-    std::size_t leavingServers = 0; ///< published or heard to leave
-    std::size_t backedOffServers = 0; ///< usable ones that want nothing of this node now
+    std::size_t servers = 0; ///< usable servers
+    std::size_t coldServers = 0; ///< usable servers that can handle only few requests yet
+    std::size_t limitedServers = 0; ///< usable servers that stated a rate limit to this node
+    std::size_t leavingServers = 0; ///< published as leaving, or announced in an answer
+    std::size_t backedOffServers = 0; ///< usable servers that this node must not send to now
     std::size_t evacuatedDataCenters = 0;
     std::map<std::string, std::size_t> members; ///< by state, this node included
-    std::map<service_id, std::size_t> waitingPieces; ///< of the pools hosted here
+    std::map<service_id, std::size_t> waitingPieces; ///< in the pools hosted by this node
     std::map<service_id, retry_allowance::usage> retries;
-    std::uint64_t placements = 0; ///< requests on the engine board of this node
-    milliseconds publishedAge{0}; ///< since the store or a peer that reads it last spoke
-    milliseconds configurationAge{0}; ///< since the one in force came into force here
-    std::uint64_t serverConnections = 0; ///< opened since the start
+    std::uint64_t placements = 0; ///< requests on the placement board of this node
+    milliseconds publishedAge{0}; ///< since the last answer of the store or of a peer reading it
+    milliseconds configurationAge{0}; ///< since this node applied its current configuration
+    std::uint64_t serverConnections = 0; ///< connections to servers opened since the start
     std::uint64_t droppedLogLines = 0;
 };
 
-/// How a call of a stage pool went.
+/// Outcome of a call of a stage pool.
 struct stage_call_report
 {
     stage_call_end end = stage_call_end::Answered;
     std::size_t pieces = 0;
-    milliseconds longestWait{0}; ///< of a piece, before the call
+    milliseconds longestWait{0}; ///< longest time that a piece of the call waited
     milliseconds took{0};
 };
 
-/// Counts what a gateway does, in the text format of Prometheus. Labels are names of enumerations,
-/// services and routes; of the last two only the first so many have rows of their own.
+/// Collects the metrics of a gateway and writes them in the Prometheus text format. Labels are
+/// names of enumerators, services and routes. Only a limited number of services and of routes get
+/// series of their own.
 class gateway_metrics
 {
 public:
@@ -59,11 +60,11 @@
     gateway_metrics(const gateway_metrics &) = delete;
     gateway_metrics &operator=(const gateway_metrics &) = delete;
 
-    /// `way` is null where no route was found.
-    void onRequest(const route *way, request_outcome outcome, milliseconds took);
-    /// The first event of a stream went to its client, so long after the request came.
+    /// Records a finished request. `matchedRoute` is null where no route was found.
+    void onRequest(const route *matchedRoute, request_outcome outcome, milliseconds took);
+    /// Records the time from a request's arrival until the first event of its stream was sent.
     void onFirstEvent(milliseconds took);
-    /// A client sent so many fields that only the system may set.
+    /// Records the number of header fields in a client's request that only the system may set.
     void onForgedFields(std::uint32_t count);
     void onStageCall(const service_id &service, const stage_call_report &call);
 
--- a/src/gateway/log_event.h
+++ b/src/gateway/log_event.h
@@ -7,47 +7,47 @@
 
 namespace orchidlead::gateway {
 
-/// Kinds of log lines that a gateway writes beside those of `wire::node_event` and
-/// `publication_news`. Their fields are described in docs/LOGS.md.
+/// Types of log lines of a gateway, beside those of `wire::node_event` and `publication_news`.
+/// Their fields are described in docs/LOGS.md.
 enum class log_event : std::uint8_t {
-    RequestTaken, ///< a request was read, and has a route
-    StageSubmitted, ///< the pieces of a stage were handed to the host of its service
+    RequestTaken, ///< a request was read and matches a route
+    StageSubmitted, ///< the pieces of a stage were submitted to the host of its service
     StagesDone, ///< all pieces have results
-    PieceFailed, ///< a piece has no result, and its request ends or begins its stages again
-    TurnAnswered, ///< when bounded servers have room for a request, and where
-    AttemptSent, ///< the request went to a server
-    AttemptEnded, ///< and how that ended
-    RetryDenied, ///< why it goes to no other server
-    Request, ///< a request has its final answer, or its client left
-    StagesRestarted, ///< results were lost or freed and are made again
-    StageCallFailed, ///< a call brought no results
-    PiecesFailed, ///< pieces of a call that have no result
-    PiecesGivenUp, ///< by a host: pieces of one request's stage, with what crowded them out
-    StagePool, ///< what a pool did in a second
-    StageHostChanged, ///< another node hosts a service's pool now
-    StageHostLost, ///< a host ended or fell silent
-    ResultHandleUnreadable, ///< a handle names no address
-    StoreReadBegun, ///< this node reads the store by itself
-    StoreReadEnded, ///< others read it for this node
-    StoreFetchFailed, ///< the configuration alone couldn't be read
-    ConfigurationAsked, ///< of a peer or the store, since a later version is known of
+    PieceFailed, ///< a piece has no result; its request fails or restarts its stages
+    TurnAnswered, ///< when and where servers with rate limits have room for a request
+    AttemptSent, ///< a request was sent to a server
+    AttemptEnded, ///< outcome of an attempt
+    RetryDenied, ///< why a request is not retried at another server
+    Request, ///< a request has its final answer, or its client disconnected
+    StagesRestarted, ///< results were lost or freed and are computed again
+    StageCallFailed, ///< a stage call returned no results
+    PiecesFailed, ///< pieces of a stage call that have no result
+    PiecesGivenUp, ///< pieces of one request's stage that a host dropped, and what displaced them
+    StagePool, ///< summary of a pool over one second
+    StageHostChanged, ///< another node now hosts a service's pool
+    StageHostLost, ///< a host ended or stopped responding
+    ResultHandleUnreadable, ///< a result handle contains no address
+    StoreReadBegun, ///< this node starts reading the store itself
+    StoreReadEnded, ///< this node gets published state from peers again
+    StoreFetchFailed, ///< a read of the configuration alone failed
+    ConfigurationAsked, ///< a peer or the store is asked for a later configuration version
     StoreLost,
     StoreRegained,
-    StoreHistoryGone, ///< everything is read anew
-    DataCenterLost, ///< nothing is heard of its nodes and servers
+    StoreHistoryGone, ///< the store's change history is gone; everything is read anew
+    DataCenterLost, ///< no signal arrives from the data centre's nodes and servers
     DataCenterRegained,
-    ServerAvoided, ///< it failed several times in a row
+    ServerAvoided, ///< a server failed several times in a row
     ServerTrusted, ///< an avoided server answered
-    ServerLimitChanged, ///< it takes another rate of requests from all nodes than before
-    ServerSaidLeaving, ///< in an answer
-    ServerAskedForTime, ///< in a refusal: it wants nothing of this node for a while
-    ServerEnded, ///< under requests of this node: a new connection is refused
-    ConnectionsLost, ///< amid answers, and a new one isn't refused
-    QuarantineChanged, ///< how requests under which servers end are treated
+    ServerLimitChanged, ///< a server's rate limit for all nodes together changed
+    ServerSaidLeaving, ///< a server announced in an answer that it is leaving
+    ServerAskedForTime, ///< a server refused and asked this node to back off
+    ServerEnded, ///< connections broke during requests, and a new connection is refused
+    ConnectionsLost, ///< connections broke during answers, and a new connection is not refused
+    QuarantineChanged, ///< quarantine level of a request suspected of crashing servers
     TrialAnswered, ///< whether a suspected request may be sent to one server
-    RetryBudgetSpent, ///< second tries that a service's budget denied in a second
-    LinesLeftOut, ///< about requests that went well, beyond the bound of a second
-    ReloadIgnored, ///< settings count at the next start
+    RetryBudgetSpent, ///< retries denied by a service's retry budget within a second
+    LinesLeftOut, ///< lines about successful requests above the limit per second
+    ReloadIgnored, ///< settings take effect only at the next start
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/policy.h
+++ b/src/gateway/policy.h
@@ -8,17 +8,17 @@
 
 namespace orchidlead::gateway {
 
-/// Policies of a gateway that can be left out one by one, to measure what each is worth.
+/// Policies of a gateway that can be disabled one by one to measure the effect of each.
 enum class policy : std::uint8_t {
-    SplitPools, ///< a pool for each data centre where it has servers enough
-    DataCenterReach, ///< a data centre that is cut off is noticed as a whole
-    LateLeafStages, ///< stages that only the request itself needs begin last
-    WaitForNear, ///< pieces with much to fetch wait for a server beside their inputs
-    ToldWaits, ///< hosts tell waits, and requests that these make late are refused on arrival
-    PromptHomes, ///< prompts that share much have a home data centre
+    SplitPools, ///< a pool per data centre where a service has enough servers
+    DataCenterReach, ///< detection of the loss of a whole data centre
+    LateLeafStages, ///< stages whose results no other stage needs start last
+    WaitForNear, ///< pieces with large inputs wait for a server close to them
+    ToldWaits, ///< hosts report waits; requests that would be late are refused on arrival
+    PromptHomes, ///< prompts that share long parts have a home data centre
 };
 
-/// The policies that are left out.
+/// The disabled policies.
 using policies_left_out = std::set<policy>;
 
 } // namespace orchidlead::gateway
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -15,9 +15,9 @@
 constexpr duration_range GraceRange{milliseconds{0}, std::chrono::hours{1}};
 constexpr integer_range QueueRange{1, 1'000'000};
 constexpr integer_range RequestLinesRange{0, 1'000'000};
-constexpr std::size_t MaxContacts = 64;
+constexpr std::size_t MaxFirstContacts = 64;
 
-std::optional<double> number(const value_reader &reader)
+std::optional<double> readNumber(const value_reader &reader)
 {
     const auto &text = reader.value().scalar;
     double parsed = 0;
@@ -30,11 +30,11 @@
     return std::nullopt;
 }
 
-std::optional<double> coresOf(const value_reader &reader)
+std::optional<double> readCores(const value_reader &reader)
 {
-    constexpr double MostCores = 100'000;
-    const auto parsed = number(reader);
-    if (!parsed || *parsed <= MostCores)
+    constexpr double MaxCores = 100'000;
+    const auto parsed = readNumber(reader);
+    if (!parsed || *parsed <= MaxCores)
         return parsed;
     reader.fail("a number of cores, at most 100000");
     return std::nullopt;
@@ -53,13 +53,13 @@
     mapping_reader section(reader);
     section.readDuration("stop_grace", bounds.stopGrace, GraceRange);
     section.readDuration("publication_apply", bounds.publicationApply, ApplyRange);
-    section.read("retry_share", presence::Optional, bounds.retryShare, number);
-    section.read("retry_reserve", presence::Optional, bounds.retryReserve, number);
+    section.read("retry_share", presence::Optional, bounds.retryShare, readNumber);
+    section.read("retry_reserve", presence::Optional, bounds.retryReserve, readNumber);
     section.readDuration("retry_window", bounds.retryWindow, WindowRange);
 }
 
-// Keys are names of data centres, which this node doesn't know beforehand. A mapping's items are
-// its keys and values by turns.
+// The keys are names of data centres, which are not known in advance. The items of a mapping are
+// alternating keys and values.
 void parseRegions(const value_reader &reader, std::map<data_center_id, region_id> &regions)
 {
     mapping_reader section(reader);
@@ -90,13 +90,13 @@
     mapping.read("data_center", presence::Required, settings.dataCenter, &value_reader::name);
     mapping.read("region", presence::Required, settings.region, &value_reader::name);
     mapping.read("store", presence::Required, settings.store, &value_reader::address);
-    mapping.read("capacity", presence::Optional, settings.capacity, coresOf);
+    mapping.read("capacity", presence::Optional, settings.capacity, readCores);
     if (const auto found = mapping.find("regions"))
         parseRegions(*found, settings.regions);
     if (const auto found = mapping.find("listen", presence::Required))
         parseListen(*found, settings.listen);
     if (const auto found = mapping.find("first_contacts")) {
-        found->forEach(0, MaxContacts, [&](const value_reader &each) {
+        found->forEach(0, MaxFirstContacts, [&](const value_reader &each) {
             if (const auto address = each.address())
                 settings.firstContacts.push_back(*address);
         });
@@ -107,8 +107,8 @@
         parseLog(*found, settings);
     if (const auto found = mapping.find("without")) {
         found->forEach(0, enumNames<policy>.size(), [&](const value_reader &each) {
-            if (const auto left = each.enumerator<policy>())
-                settings.without.insert(*left);
+            if (const auto disabled = each.enumerator<policy>())
+                settings.without.insert(*disabled);
         });
     }
     mapping.read("stage_calls", presence::Optional, settings.stageCalls,
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -22,49 +22,50 @@
 struct gateway_listen
 {
     socket_address clients;
-    socket_address readiness; ///< also metrics
+    socket_address readiness; ///< readiness and metrics
     socket_address peers;
 };
 
-/// What the platform promises and demands, in the words of its own pages.
+/// Guarantees and requirements of the platform, named as in its documentation.
 struct platform_bounds
 {
-    milliseconds stopGrace{8000}; ///< from the signal to stop until the process is killed
-    /// From the store's word on a configuration or a leaving server until nodes act on it.
+    milliseconds stopGrace{8000}; ///< from the stop signal until the process is killed
+    /// Longest time from the publication of a configuration or a leaving server in the store until
+    /// nodes act on it.
     milliseconds publicationApply{2000};
-    double retryShare = 0.2; ///< of requests, that may reach a server again
-    double retryReserve = 50.0; ///< beside the share
+    double retryShare = 0.2; ///< share of requests that may be sent to a server again
+    double retryReserve = 50.0; ///< number of retries allowed in addition to the share
     milliseconds retryWindow{10'000};
 };
 
-/// Whose pieces go together into the calls of stage pools.
+/// Whose pieces are batched into one call of a stage pool.
 enum class stage_sharing {
-    Shared, ///< those of all nodes
-    Alone, ///< each node's own: the baseline that shared calls are measured against
+    Shared, ///< pieces of all nodes
+    Alone, ///< pieces of one node only: the baseline that shared calls are measured against
 };
 
-/// Everything that a gateway process reads from its own file.
+/// Settings of a gateway process, read from its settings file.
 struct gateway_settings
 {
     vm_id vm;
     data_center_id dataCenter;
     region_id region;
     std::map<data_center_id, region_id> regions; ///< of all data centres
-    double capacity = 0; ///< cores that the node may use; 0: not known
+    double capacity = 0; ///< cores that the node may use; 0: unknown
     gateway_listen listen;
     socket_address store;
-    std::vector<socket_address> firstContacts; ///< peers to ask first; may be away
+    std::vector<socket_address> firstContacts; ///< peers to contact at the start; may be down
     platform_bounds bounds;
     log_settings log;
-    /// Log lines in a second about the decisions on requests that went well; those on requests that
-    /// didn't are always written. A request has about ten: 100 show one in a few at the base load
-    /// of the nodes served so far.
+    /// Limit of log lines per second about decisions on successful requests. Lines about failed
+    /// requests are always written. A request has about ten lines, so at the base load of the nodes
+    /// served so far, 100 lines show one request in a few.
     std::uint32_t requestLines = 100;
     stage_sharing stageCalls = stage_sharing::Shared;
     policies_left_out without;
 };
 
-/// Reads and checks a settings file; gives every error found, up to a bound.
+/// Parses and validates a settings file; returns all errors found, up to a limit.
 [[nodiscard]] result<gateway_settings, std::vector<configuration_error>>
 parseGatewaySettings(std::string_view yaml, std::string_view fileName);
 
--- a/tests/gateway/gateway_metrics_test.cpp
+++ b/tests/gateway/gateway_metrics_test.cpp
@@ -5,13 +5,13 @@
 using namespace orchidlead;
 using namespace orchidlead::gateway;
 
-TEST_CASE("requests are counted by kind and outcome, and their times by kind")
+TEST_CASE("request counters have kind and outcome labels, request durations a kind label")
 {
     gateway_metrics metrics;
-    route way;
-    way.name = "pages";
-    metrics.onRequest(&way, request_outcome::Answered, milliseconds{20});
-    metrics.onRequest(&way, request_outcome::Answered, milliseconds{40});
+    route matchedRoute;
+    matchedRoute.name = "pages";
+    metrics.onRequest(&matchedRoute, request_outcome::Answered, milliseconds{20});
+    metrics.onRequest(&matchedRoute, request_outcome::Answered, milliseconds{40});
     metrics.onRequest(nullptr, request_outcome::NoRoute, milliseconds{1});
     const auto text = metrics.text({});
     INFO(text);
@@ -24,7 +24,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("stage calls are counted by their end and their pieces")
+TEST_CASE("stage calls are counted by outcome, with their pieces, waits and durations")
 {
     gateway_metrics metrics;
     const service_id service{"rerank"};
@@ -38,7 +38,7 @@
     CHECK(text.find("stage_call_seconds_sum{service=\"rerank\"} 0.251") != std::string::npos);
 }
 
-TEST_CASE("the state of the node is told as it is asked for")
+TEST_CASE("gauges show the state of the node at the time of the read")
 {
     gateway_metrics metrics;
     gateway_gauges gauges;
--- a/tests/gateway/log_event_test.cpp
+++ b/tests/gateway/log_event_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("the page of log lines names every kind of line and every outcome")
+TEST_CASE("every log event and request outcome is documented in docs/LOGS.md")
 {
     const auto page = readPage();
     REQUIRE_FALSE(page.empty());
--- a/tests/gateway/settings_test.cpp
+++ b/tests/gateway/settings_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-const std::string Whole = R"(vm: "edge-1"
+const std::string CompleteSettings = R"(vm: "edge-1"
 data_center: "dc"
 region: "r"
 listen:
@@ -29,9 +29,9 @@
 
 } // namespace
 
-TEST_CASE("settings of a gateway are read")
+TEST_CASE("gateway settings are parsed")
 {
-    const auto settings = parseGatewaySettings(Whole, "f");
+    const auto settings = parseGatewaySettings(CompleteSettings, "f");
     REQUIRE(settings);
     CHECK(settings.value().vm.value == "edge-1");
     CHECK(settings.value().listen.peers.port == 3);
@@ -41,19 +41,20 @@
     CHECK(settings.value().bounds.publicationApply == milliseconds{3000});
 }
 
-TEST_CASE("what a node can do is read in cores, and isn't known where it isn't told")
+TEST_CASE("the capacity of a node is parsed in cores and is 0 where it is not set")
 {
-    CHECK(parseGatewaySettings(Whole, "f").value().capacity == 0);
-    CHECK(parseGatewaySettings(Whole + "capacity: 0.12\n", "f").value().capacity == 0.12);
+    CHECK(parseGatewaySettings(CompleteSettings, "f").value().capacity == 0);
+    CHECK(parseGatewaySettings(CompleteSettings + "capacity: 0.12\n", "f").value().capacity
+          == 0.12);
     for (const std::string wrong : {"-1", "many", "1e300", ""}) {
         INFO(wrong);
-        CHECK_FALSE(parseGatewaySettings(Whole + "capacity: " + wrong + "\n", "f"));
+        CHECK_FALSE(parseGatewaySettings(CompleteSettings + "capacity: " + wrong + "\n", "f"));
     }
 }
 
-TEST_CASE("each wrong setting is told with its place, and unknown keys are")
+TEST_CASE("each invalid setting and each unknown key is reported by name")
 {
-    auto text = Whole;
+    auto text = CompleteSettings;
     text.replace(text.find("0.25"), 4, "many");
     text += "colour: blue\n";
     const auto settings = parseGatewaySettings(text, "f");
@@ -64,36 +65,37 @@
     CHECK(errors[1].message().find("colour") != std::string::npos);
 }
 
-TEST_CASE("policies are left out by name, and a name that is none is told")
+TEST_CASE("policies are disabled by name, and an unknown name is an error")
 {
-    const auto set = parseGatewaySettings(Whole + "without: [told_waits, split_pools]\n", "f");
+    const auto set =
+        parseGatewaySettings(CompleteSettings + "without: [told_waits, split_pools]\n", "f");
     REQUIRE(set);
     CHECK(set.value().without == policies_left_out{policy::SplitPools, policy::ToldWaits});
-    const auto wrong = parseGatewaySettings(Whole + "without: [luck]\n", "f");
+    const auto wrong = parseGatewaySettings(CompleteSettings + "without: [luck]\n", "f");
     REQUIRE_FALSE(wrong);
     CHECK(wrong.error().front().message().find("without") != std::string::npos);
 }
 
-TEST_CASE("settings without a store aren't accepted")
+TEST_CASE("gateway settings without a store are rejected")
 {
-    auto text = Whole;
+    auto text = CompleteSettings;
     const auto begin = text.find("store:");
     text.erase(begin, text.find('\n', begin) - begin + 1);
     CHECK_FALSE(parseGatewaySettings(text, "f"));
 }
 
-TEST_CASE("log bounds and the sharing of stage calls are read, and have defaults")
+TEST_CASE("the log line limit and the sharing of stage calls are parsed and have defaults")
 {
-    const auto plain = parseGatewaySettings(Whole, "f");
+    const auto plain = parseGatewaySettings(CompleteSettings, "f");
     REQUIRE(plain);
     CHECK(plain.value().requestLines == 100);
     CHECK(plain.value().stageCalls == stage_sharing::Shared);
-    const auto set =
-        parseGatewaySettings(Whole + "log:\n  request_lines: 7\nstage_calls: alone\n", "f");
+    const auto set = parseGatewaySettings(
+        CompleteSettings + "log:\n  request_lines: 7\nstage_calls: alone\n", "f");
     REQUIRE(set);
     CHECK(set.value().requestLines == 7);
     CHECK(set.value().stageCalls == stage_sharing::Alone);
-    const auto wrong = parseGatewaySettings(Whole + "stage_calls: some\n", "f");
+    const auto wrong = parseGatewaySettings(CompleteSettings + "stage_calls: some\n", "f");
     REQUIRE_FALSE(wrong);
     CHECK(wrong.error().front().message().find("stage_calls") != std::string::npos);
 }
