--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("a request's headers are decoded into what they hold")
+TEST_CASE("request headers are decoded")
 {
     const auto marks = codec::readRequest(makeRequest());
     CHECK(marks.attempt == "9c41");
@@ -85,7 +85,7 @@
     CHECK(marks.lastEvent == 12);
 }
 
-TEST_CASE("what a client sends in a field that only the system may set goes to no server")
+TEST_CASE("client values of system-only header fields are not forwarded to a server")
 {
     const std::vector<std::string> systemFields{
         "X-Retention",        "x-pin-ms",     "X-Kv-Backup",        "Kv-From",
@@ -104,14 +104,14 @@
     }
 }
 
-TEST_CASE("fields that clients may send, known or not, don't count as forged")
+TEST_CASE("fields that clients may send, known or unknown, do not count as forged")
 {
     auto head = makeRequest();
     std::erase_if(head.fields, [](const http::field &each) { return each.name == "X-Tenant"; });
     CHECK(codec::readRequest(head).forgedFields == 0);
 }
 
-TEST_CASE("headers that can't be read count as absent")
+TEST_CASE("unreadable request headers count as absent")
 {
     http::request_head head;
     head.fields = {{"X-Deadline-Ms", "soon"}, {"Last-Event-Id", "-1"}, {"X-Prefix-Hash", "x:y"}};
@@ -122,7 +122,8 @@
     CHECK(marks.prompt[0].tokens == 0);
 }
 
-TEST_CASE("a server gets the system's own headers in place of the client's, and never the key")
+TEST_CASE(
+    "a server receives the headers of the system instead of the client's, and never the API key")
 {
     server_marks marks;
     marks.patience = milliseconds{950};
@@ -147,12 +148,12 @@
     CHECK_FALSE(valueOf(fields, "api-key"));
 }
 
-TEST_CASE("a forged customer isn't passed on where the request has none")
+TEST_CASE("a forged customer header is not forwarded for a request without a customer")
 {
     CHECK_FALSE(valueOf(codec::writeServerFields(makeRequest(), {}), "x-tenant"));
 }
 
-TEST_CASE("an answer's headers are decoded")
+TEST_CASE("answer headers are decoded")
 {
     http::response_head head;
     head.fields = {{"x-attempt-id", "9c41"},
@@ -169,8 +170,9 @@
     CHECK(marks.server.load->slots == 8);
 }
 
-// Guards against readings that are dropped whole as soon as servers tell more than is known.
-TEST_CASE("figures of a load that are known are read, whatever follows them")
+// Guards against discarding the whole load report when a server appends figures unknown to the
+// gateway.
+TEST_CASE("known figures of a load header are read whatever follows them")
 {
     rc::prop("", [] {
         const auto running = *rc::gen::inRange(0U, 100'000U);
@@ -192,7 +194,7 @@
     });
 }
 
-TEST_CASE("a load that lacks a figure, or has one that is no number, says nothing")
+TEST_CASE("a load header with a missing or non-numeric figure is ignored")
 {
     for (const std::string text : {"", "3", "3,1", "3,,8", "3,one,8", "3,-1,8", "3,1,8x", ",,"}) {
         INFO(text);
@@ -202,7 +204,7 @@
     }
 }
 
-TEST_CASE("an answer's limit is decoded, and one that is no number says nothing")
+TEST_CASE("the rate limit of an answer is decoded, and a non-numeric limit is ignored")
 {
     const auto read = [](const std::string &limit, int status = 200) {
         http::response_head head;
@@ -218,11 +220,11 @@
         INFO("limit: " << wrong);
         CHECK_FALSE(read(wrong).readable);
     }
-    // Another server at the same address.
+    // A different server at the same address.
     CHECK_FALSE(read("2.5", 421).readable);
 }
 
-TEST_CASE("an answer says that its server leaves with one value alone")
+TEST_CASE("only the value 1 of the leaving header marks a server as leaving")
 {
     const auto read = [](const std::string &value, int status = 200) {
         http::response_head head;
@@ -239,11 +241,11 @@
         CHECK_FALSE(read(other));
     }
     CHECK_FALSE(codec::readAnswer({}).server.leaving);
-    // Another server at the same address.
+    // A different server at the same address.
     CHECK_FALSE(read("1", 421));
 }
 
-TEST_CASE("a refusal's time is decoded with its fraction, and nothing of other answers")
+TEST_CASE("Retry-After of a refusal is decoded with its fraction, and ignored in other answers")
 {
     const auto read = [](const std::string &value, int status = 503) {
         http::response_head head;
@@ -267,7 +269,7 @@
     }
 }
 
-TEST_CASE("an answer tells a refusal from a request that has run")
+TEST_CASE("a refusal is distinguished from a request that has run")
 {
     const auto refused = [](int status, bool notRun) {
         http::response_head head;
@@ -283,12 +285,12 @@
         CHECK_FALSE(refused(status, true));
 }
 
-TEST_CASE("the time to come back is written in seconds with a fraction")
+TEST_CASE("Retry-After is written in seconds with a fraction")
 {
     CHECK(codec::retryAfter(milliseconds{400}).value == "0.400");
 }
 
-TEST_CASE("pieces are written with a key or with inputs")
+TEST_CASE("pieces of a stage call are written with a key or with inputs")
 {
     const std::vector<piece_request> pieces{{"r1", 0, 2, milliseconds{900}, "7c\"1e", {}},
                                             {"r2", 2, 0, std::nullopt, "", {"h/1"}}};
@@ -297,7 +299,7 @@
              R"({"id":"r2","stage":2,"segment":0,"inputs":["h/1"]}]})");
 }
 
-TEST_CASE("results of pieces are read as handles or as reasons")
+TEST_CASE("results of pieces are read as handles or as failure reasons")
 {
     const auto read = codec::readPieces(
         R"({"items":[{"handle":"h/1"},{"reason":"late"},{"reason":"gone"},{"reason":"room"},)"
@@ -311,7 +313,7 @@
     CHECK(std::get<piece_failure>(read.value()[4]) == piece_failure::Error);
 }
 
-TEST_CASE("answers to calls that aren't what they should be are told as errors")
+TEST_CASE("malformed answers to stage calls are errors")
 {
     for (const std::string text : {"", "{", "[]", "{}", R"({"items":3})", R"({"items":[{}]})",
                                    R"({"items":[{"reason":"tired"}]})", R"({"items":["x"]})"}) {
@@ -320,7 +322,7 @@
     }
 }
 
-TEST_CASE("a page of servers is read, and an entry that can't be is named")
+TEST_CASE("a page of servers is read, and an unreadable entry is reported with its key")
 {
     const auto page = codec::readPage(R"({"items":[)" + item("servers/i-1", Server) + ","
                                       + item("servers/i-2", "{}") + "," + item("other/x", "{}")
@@ -339,7 +341,7 @@
     CHECK(std::get<removed_server>(page.value().items[2]).id.value == "i-2");
 }
 
-TEST_CASE("a server's entry that isn't as it should be names no server, and the others hold")
+TEST_CASE("an invalid server entry removes only that server")
 {
     struct changed_entry
     {
@@ -396,7 +398,7 @@
     }
 }
 
-TEST_CASE("an entry of random bytes names no server, and never more than one")
+TEST_CASE("a randomly altered server entry results in its server or in the removal of that server")
 {
     std::mt19937 random(20261203);
     std::uniform_int_distribution<int> anyByte(0, 255);
@@ -417,7 +419,7 @@
     }
 }
 
-TEST_CASE("a value that can't be decoded names no server")
+TEST_CASE("a server entry with an undecodable value removes the server")
 {
     const auto page = codec::readChanges(
         R"({"events":[{"key":"servers/i-1","value":"%%%","revision":9}],"store_revision":9})");
@@ -426,7 +428,7 @@
     CHECK(std::get<removed_server>(page.value().items[1]).id.value == "i-1");
 }
 
-TEST_CASE("changes tell of servers that leave and that are removed")
+TEST_CASE("leaving and removed servers are read from changes")
 {
     auto leaving = Server;
     leaving.replace(leaving.find("ready"), 5, "draining");
@@ -439,7 +441,7 @@
     CHECK(std::get<removed_server>(page.value().items[1]).id.value == "i-2");
 }
 
-TEST_CASE("a configuration is read with its routes, services, limits and customers")
+TEST_CASE("a configuration is read with routes, services, limits and customers")
 {
     const auto read = codec::readConfiguration(Configuration);
     REQUIRE(read);
@@ -467,7 +469,7 @@
     CHECK(content.customers[0].priority == 1U);
 }
 
-TEST_CASE("a configuration that lacks what routes need is refused whole")
+TEST_CASE("a configuration with an incomplete route is rejected as a whole")
 {
     for (
         const std::string text :
@@ -479,7 +481,7 @@
     }
 }
 
-TEST_CASE("targets of the store's calls are written")
+TEST_CASE("request targets of the store calls are written")
 {
     CHECK(codec::configurationTarget() == "/kv-key?key=op/config");
     const auto latest = gateway::read_freshness::Latest;
@@ -492,7 +494,7 @@
           == "/kv-watch?path_prefix=&after=411&wait_ms=1500");
 }
 
-TEST_CASE("pages that aren't pages are told as errors")
+TEST_CASE("malformed store pages are errors")
 {
     for (const std::string text : {"", "[]", "{}", R"({"items":[]})", R"({"store_revision":1})"}) {
         INFO("text: " << text);
--- a/tests/platform/explain_test.cpp
+++ b/tests/platform/explain_test.cpp
@@ -5,7 +5,7 @@
 
 #include <sstream>
 
-/// Failed requests of whole gateways, told from their log lines alone.
+/// Histories of failed requests, reconstructed from the log lines of gateways alone.
 using namespace orchidlead;
 using namespace orchidlead::platform_world;
 
@@ -13,7 +13,7 @@
 
 ctl::request_history explain(world &w, const std::string &request)
 {
-    // The line about the end is written by another thread.
+    // The last line of a request is written by another thread.
     const auto ended = [&] {
         ctl::history_finder finder(request);
         std::istringstream lines(w.logged.str());
@@ -25,8 +25,8 @@
     return ended();
 }
 
-bool tells(const ctl::request_history &history, const std::string &event, const std::string &field,
-           const std::string &value)
+bool hasEntry(const ctl::request_history &history, const std::string &event,
+              const std::string &field, const std::string &value)
 {
     for (const auto &line : history.lines) {
         if (line.entry.event == event && line.entry.field(field) == value)
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("an unsafe call whose answer is lost is told with its server and why it isn't repeated")
+TEST_CASE("the history of an unsafe call with a lost answer explains why there was no retry")
 {
     world w;
     w.publish(1, plainRoute("unsafe"));
@@ -51,12 +51,12 @@
     REQUIRE(answer->status == 502);
     const auto history = explain(w, "lost");
     CHECK(history.outcome == "server_failed");
-    CHECK(tells(history, "attempt_ended", "end", "unknown"));
-    CHECK(tells(history, "attempt_ended", "server", "s-1"));
-    CHECK(tells(history, "retry_denied", "reason", "may_have_run"));
+    CHECK(hasEntry(history, "attempt_ended", "end", "unknown"));
+    CHECK(hasEntry(history, "attempt_ended", "server", "s-1"));
+    CHECK(hasEntry(history, "retry_denied", "reason", "may_have_run"));
 }
 
-TEST_CASE("a truthful refusal is told with what no server would take")
+TEST_CASE("the history of a refused request contains the refusal and the status sent to the client")
 {
     world w;
     w.publish(1, plainRoute("unsafe"));
@@ -71,11 +71,11 @@
     REQUIRE(w.await(answer));
     REQUIRE(answer->status == 503);
     const auto history = explain(w, "full");
-    CHECK(tells(history, "attempt_ended", "end", "not_run"));
-    CHECK(tells(history, "request", "told", "503"));
+    CHECK(hasEntry(history, "attempt_ended", "end", "not_run"));
+    CHECK(hasEntry(history, "request", "told", "503"));
 }
 
-TEST_CASE("a stream that broke off twice is told with each server and how far it came")
+TEST_CASE("the history of a stream interrupted twice names each server and the last event")
 {
     world w;
     w.publish(1, streamRoute(true));
@@ -95,8 +95,8 @@
     REQUIRE(w.await(answer));
     const auto history = explain(w, "broken");
     CHECK(history.outcome != "answered");
-    CHECK(tells(history, "attempt_ended", "server", "e-1"));
-    CHECK(tells(history, "attempt_ended", "server", "e-2"));
-    CHECK(tells(history, "attempt_ended", "last_event", "2"));
-    CHECK(tells(history, "retry_denied", "reason", "attempts_used_up"));
+    CHECK(hasEntry(history, "attempt_ended", "server", "e-1"));
+    CHECK(hasEntry(history, "attempt_ended", "server", "e-2"));
+    CHECK(hasEntry(history, "attempt_ended", "last_event", "2"));
+    CHECK(hasEntry(history, "retry_denied", "reason", "attempts_used_up"));
 }
