--- a/src/gateway/exchange/exchange_impl.h
+++ b/src/gateway/exchange/exchange_impl.h
@@ -94,7 +94,7 @@
         next();
         return;
     }
-    m_context.quarantine.askTrial(
+    m_context.quarantine.requestTrial(
         m_digest, [self = this->shared_from_this(), next = std::move(next)](bool granted) {
             self->onTrialAnswer(granted, next);
         });
--- a/src/gateway/quarantine/quarantine_relay.cpp
+++ b/src/gateway/quarantine/quarantine_relay.cpp
@@ -10,22 +10,23 @@
 
 namespace {
 
-// A host answers within a round trip, 2 ms between data centres. A suspected request isn't sent
-// without its word: the caller comes back, and a server that ends takes others with it.
-constexpr milliseconds HostPatience{100};
-// A peer that was told something and says nothing for so long has a link that is silent.
-constexpr milliseconds LinkSilence{1000};
-// Servers that a log line names; it tells how many there were.
-constexpr std::size_t MostServersNamed = 8;
-// Between two looks for what is too old to count.
-constexpr milliseconds ForgetInterval{1000};
-
-std::string firstNames(const std::vector<backend_server_id> &servers)
+// The host answers within a round trip, 2 ms between data centres. A suspected request isn't sent
+// without permission from the host: the caller retries, whereas a crash also fails the requests of
+// other callers.
+constexpr milliseconds HostReplyTimeout{100};
+// A link on which no reply arrives for this long after a frame was sent is closed.
+constexpr milliseconds LinkReplyTimeout{1000};
+// Most servers listed in a log line, which also gives the number of crashes.
+constexpr std::size_t MaxLoggedServers = 8;
+// Interval at which expired records are removed.
+constexpr milliseconds ExpiryInterval{1000};
+
+std::string joinFirstIds(const std::vector<backend_server_id> &servers)
 {
-    std::string names;
-    for (std::size_t i = 0; i < std::min(servers.size(), MostServersNamed); ++i)
-        names += (i == 0 ? "" : ",") + servers[i].value;
-    return names;
+    std::string ids;
+    for (std::size_t i = 0; i < std::min(servers.size(), MaxLoggedServers); ++i)
+        ids += (i == 0 ? "" : ",") + servers[i].value;
+    return ids;
 }
 
 } // namespace
@@ -42,18 +43,18 @@
     return isHost() ? nullptr : m_peers.linkTo(m_peers.quarantineHost());
 }
 
-server_ends_frame quarantine_relay::makeFrame(const std::vector<server_end> &ends) const
+server_ends_frame quarantine_relay::makeFrame(const std::vector<server_end> &crashes) const
 {
     server_ends_frame frame;
     const auto ago = [now = m_loop.now()](steady_time since) {
         return std::chrono::duration_cast<milliseconds>(now - since);
     };
-    for (const auto &each : ends) {
-        auto &told = frame.ends.emplace_back();
-        told.server = each.server;
-        told.ago = ago(each.at);
+    for (const auto &each : crashes) {
+        auto &outgoing = frame.ends.emplace_back();
+        outgoing.server = each.server;
+        outgoing.ago = ago(each.at);
         for (const auto &request : each.requests)
-            told.requests.push_back({request.digest, ago(request.sentAt)});
+            outgoing.requests.push_back({request.digest, ago(request.sentAt)});
     }
     return frame;
 }
@@ -64,8 +65,9 @@
     if (isHost())
         frame.host = m_peers.self();
     for (const auto &each : entries) {
-        const auto left = std::chrono::duration_cast<milliseconds>(each.until - m_loop.now());
-        frame.entries.push_back({each.request, each.level, each.version, left, each.times});
+        const auto left = std::chrono::duration_cast<milliseconds>(each.expiresAt - m_loop.now());
+        frame.entries.push_back(
+            {each.request, each.level, each.version, left, each.quarantineCount});
     }
     return frame;
 }
@@ -77,26 +79,26 @@
     auto line = m_log.line(wire::log_level::Warning, toName(log_event::QuarantineChanged));
     line.add("digest", toText(entry.request)).add("level", toName(entry.level));
     line.add("from", from).add("by", by.value);
-    line.add("ends", found.seen).add("charged", found.charged);
-    line.add("servers_ended", firstNames(found.servers));
-    const auto left = std::chrono::duration_cast<milliseconds>(entry.until - m_loop.now());
-    line.add("times", entry.times).add("left_ms", left.count());
+    line.add("ends", found.crashCount).add("charged", found.attributed);
+    line.add("servers_ended", joinFirstIds(found.servers));
+    const auto left = std::chrono::duration_cast<milliseconds>(entry.expiresAt - m_loop.now());
+    line.add("times", entry.quarantineCount).add("left_ms", left.count());
     m_log.write(wire::log_level::Warning, std::move(line));
 }
 
-// What this node knows goes to the host, unless it came from there.
-void quarantine_relay::tellHost(const std::vector<server_end> &ends,
-                                const std::vector<quarantine_entry> &entries)
+// Sends this node's information to the host. Callers leave out what the host itself sent.
+void quarantine_relay::sendToHost(const std::vector<server_end> &crashes,
+                                  const std::vector<quarantine_entry> &entries)
 {
     if (isHost())
         return;
     const auto link = linkToHost();
     if (!link) {
-        m_host = {}; // it is told when it can be reached
+        m_syncedHost = {}; // makes `resyncWithHost` send everything once the host can be reached
         return;
     }
-    if (!ends.empty())
-        link->send(makeFrame(ends));
+    if (!crashes.empty())
+        link->send(makeFrame(crashes));
     if (!entries.empty())
         link->send(makeFrame(entries));
     link->ask();
@@ -109,64 +111,67 @@
     return known ? known->incarnation : 0;
 }
 
-quarantine_relay::node_start quarantine_relay::hostStart()
+quarantine_relay::node_instance quarantine_relay::currentHost()
 {
     const auto &vm = m_peers.quarantineHost();
     return {vm, incarnationOf(vm)};
 }
 
-// A later host knows nothing of what the earlier one was told.
-void quarantine_relay::followHost()
+// A new host, or a restarted one, has none of the information that was sent to the previous one, so
+// this node sends everything that it has.
+void quarantine_relay::resyncWithHost()
 {
-    const auto host = hostStart();
-    if (m_host == host)
+    const auto host = currentHost();
+    if (m_syncedHost == host)
         return;
-    m_host = host;
+    m_syncedHost = host;
     m_hostLink.reset();
     if (isHost())
         return;
-    const auto ends = m_quarantine.ends();
+    const auto crashes = m_quarantine.crashes();
     const auto entries = m_quarantine.entries();
-    if (!ends.empty() || !entries.empty())
-        tellHost(ends, entries);
+    if (!crashes.empty() || !entries.empty())
+        sendToHost(crashes, entries);
 }
 
-void quarantine_relay::tellMembers()
+void quarantine_relay::syncNewMembers()
 {
     const auto entries = m_quarantine.entries();
     if (entries.empty() || !isHost())
         return;
     const auto frame = makeFrame(entries);
     for (const auto &peer : m_peers.view().peers()) {
-        const auto number = incarnationOf(peer);
-        const auto told = m_told.find(peer);
-        if (told != m_told.end() && told->second.number == number)
+        const auto incarnationNumber = incarnationOf(peer);
+        const auto synced = m_syncedMembers.find(peer);
+        if (synced != m_syncedMembers.end()
+            && synced->second.incarnationNumber == incarnationNumber)
             continue;
         const auto link = m_peers.linkTo(peer);
         if (!link)
             continue;
         link->send(frame);
         link->ask();
-        m_told[peer] = {number, link};
+        m_syncedMembers[peer] = {incarnationNumber, link};
     }
 }
 
-// The host tells all; others tell the host what it can't know yet.
+// The host sends the entries to all nodes. Other nodes send them to the host, unless it is their
+// source.
 void quarantine_relay::publish(const std::vector<quarantine_entry> &entries, origin from)
 {
     if (entries.empty())
         return;
     if (!isHost()) {
         if (from != origin::Host)
-            tellHost({}, entries);
+            sendToHost({}, entries);
         return;
     }
     const auto frame = makeFrame(entries);
-    for (const auto &[peer, told] : m_told) {
-        told.link->send(frame);
-        told.link->ask();
+    for (const auto &[peer, synced] : m_syncedMembers) {
+        synced.link->send(frame);
+        synced.link->ask();
     }
-    tellMembers();
+    syncNewMembers();
 }
 
 void quarantine_relay::decide()
@@ -176,14 +181,14 @@
     const auto changed = m_quarantine.decide();
     for (const auto &each : changed)
         logEntry(each, "ends", m_peers.self());
-    publish(changed, origin::Here);
+    publish(changed, origin::Local);
 }
 
-void quarantine_relay::onServerEnd(const server_end &end)
+void quarantine_relay::onServerEnd(const server_end &crash)
 {
-    if (!m_quarantine.onServerEnd(end))
+    if (!m_quarantine.onServerEnd(crash))
         return;
-    tellHost({end}, {});
+    sendToHost({crash}, {});
     decide();
 }
 
@@ -193,166 +198,166 @@
     if (!changed)
         return;
     logEntry(*changed, "served", m_peers.self());
-    publish({*changed}, origin::Here);
+    publish({*changed}, origin::Local);
 }
 
-void quarantine_relay::askTrial(const request_digest &request, trial_handler answer)
+void quarantine_relay::requestTrial(const request_digest &request, trial_handler answer)
 {
     const auto link = linkToHost();
     if (!link) {
         m_loop.post([this, request, answer = std::move(answer)] {
-            answer(m_quarantine.tryTrial(request));
+            answer(m_quarantine.tryStartTrial(request));
         });
         return;
     }
     link->send(trial_request{request});
-    open_trial asked{std::move(answer), 0};
-    asked.timer = m_loop.callAfter(HostPatience, [this, request] {
+    pending_trial pending{std::move(answer), 0};
+    pending.timer = m_loop.callAfter(HostReplyTimeout, [this, request] {
         onTrialAnswer(nullptr, {request, false});
     });
-    m_trials[request].push_back(std::move(asked));
+    m_pendingTrials[request].push_back(std::move(pending));
 }
 
-// Answers come in the order of the questions, as one host is asked over one link.
+// Answers arrive in the order of the requests, because all requests go to one host over one link.
 void quarantine_relay::onTrialAnswer(const link_ptr &link, const trial_answer &answer)
 {
-    const auto found = m_trials.find(answer.request);
-    if (found == m_trials.end()) {
-        // It comes too late: the request was refused meanwhile.
+    const auto found = m_pendingTrials.find(answer.request);
+    if (found == m_pendingTrials.end()) {
+        // The answer is late: the request has been refused in the meantime.
         if (answer.granted)
             link->send(trial_end{answer.request});
         return;
     }
-    auto asked = std::move(found->second.front());
+    auto pending = std::move(found->second.front());
     found->second.erase(found->second.begin());
     if (found->second.empty())
-        m_trials.erase(found);
-    m_loop.cancelTimer(asked.timer);
+        m_pendingTrials.erase(found);
+    m_loop.cancelTimer(pending.timer);
     if (answer.granted)
-        m_granting[answer.request] = link;
-    asked.answer(answer.granted);
+        m_ownTrialLinks[answer.request] = link;
+    pending.answer(answer.granted);
 }
 
 void quarantine_relay::endTrial(const request_digest &request)
 {
-    auto granting = m_granting.extract(request);
-    if (!granting.empty())
-        granting.mapped()->send(trial_end{request});
+    auto trialLink = m_ownTrialLinks.extract(request);
+    if (!trialLink.empty())
+        trialLink.mapped()->send(trial_end{request});
     else
         m_quarantine.endTrial(request);
 }
 
 void quarantine_relay::tick()
 {
-    followHost();
-    tellMembers();
-    closeSilentLinks();
+    resyncWithHost();
+    syncNewMembers();
+    closeUnresponsiveLinks();
     decide();
-    if (m_loop.now() < m_nextForget)
+    if (m_loop.now() < m_nextExpiry)
         return;
-    m_nextForget = m_loop.now() + ForgetInterval;
-    m_quarantine.forgetOld();
+    m_nextExpiry = m_loop.now() + ExpiryInterval;
+    m_quarantine.removeExpired();
 }
 
-void quarantine_relay::closeSilentLinks()
+void quarantine_relay::closeUnresponsiveLinks()
 {
-    std::vector<link_ptr> silent;
-    const auto look = [&](const link_ptr &link) {
-        if (link && link->askedAt() && m_loop.now() - *link->askedAt() > LinkSilence)
-            silent.push_back(link);
+    std::vector<link_ptr> unresponsive;
+    const auto collectIfUnresponsive = [&](const link_ptr &link) {
+        if (link && link->askedAt() && m_loop.now() - *link->askedAt() > LinkReplyTimeout)
+            unresponsive.push_back(link);
     };
-    look(m_hostLink);
-    for (const auto &[peer, told] : m_told)
-        look(told.link);
-    for (const auto &link : silent)
+    collectIfUnresponsive(m_hostLink);
+    for (const auto &[peer, synced] : m_syncedMembers)
+        collectIfUnresponsive(synced.link);
+    for (const auto &link : unresponsive)
         link->close();
 }
 
 void quarantine_relay::onFrame(const link_ptr &link, const peer_frame &frame)
 {
-    if (const auto *ends = std::get_if<server_ends_frame>(&frame))
-        onEnds(*ends);
+    if (const auto *crashes = std::get_if<server_ends_frame>(&frame))
+        onServerEndsFrame(*crashes);
     else if (const auto *entries = std::get_if<quarantine_frame>(&frame))
-        onEntries(*entries);
-    else if (const auto *asked = std::get_if<trial_request>(&frame))
-        onTrialRequest(link, asked->request);
+        onQuarantineFrame(*entries);
+    else if (const auto *requested = std::get_if<trial_request>(&frame))
+        onTrialRequest(link, requested->request);
     else if (const auto *answer = std::get_if<trial_answer>(&frame))
         onTrialAnswer(link, *answer);
     else if (const auto *end = std::get_if<trial_end>(&frame))
         onTrialEnd(link, end->request);
 }
 
-void quarantine_relay::onEnds(const server_ends_frame &frame)
+void quarantine_relay::onServerEndsFrame(const server_ends_frame &frame)
 {
-    std::vector<server_end> learnt;
+    std::vector<server_end> newCrashes;
     for (const auto &each : frame.ends) {
-        server_end end{each.server, m_loop.now() - each.ago, {}};
+        server_end crash{each.server, m_loop.now() - each.ago, {}};
         for (const auto &request : each.requests)
-            end.requests.push_back({request.digest, m_loop.now() - request.sentAgo});
-        if (m_quarantine.onServerEnd(end))
-            learnt.push_back(end);
+            crash.requests.push_back({request.digest, m_loop.now() - request.sentAgo});
+        if (m_quarantine.onServerEnd(crash))
+            newCrashes.push_back(crash);
     }
-    if (learnt.empty())
+    if (newCrashes.empty())
         return;
-    tellHost(learnt, {});
+    sendToHost(newCrashes, {});
     decide();
 }
 
-void quarantine_relay::onEntries(const quarantine_frame &frame)
+void quarantine_relay::onQuarantineFrame(const quarantine_frame &frame)
 {
-    // The host needn't hear back what it has just told.
-    const bool knewNothing = m_quarantine.ends().empty() && m_quarantine.entries().empty();
-    if (knewNothing && frame.host == m_peers.quarantineHost())
-        m_host = hostStart();
-    std::vector<quarantine_entry> taken;
+    // A node without information of its own has nothing to send back to the host, which is
+    // therefore in sync with it.
+    const bool hadNoInformation = m_quarantine.crashes().empty() && m_quarantine.entries().empty();
+    if (hadNoInformation && frame.host == m_peers.quarantineHost())
+        m_syncedHost = currentHost();
+    std::vector<quarantine_entry> accepted;
     for (const auto &each : frame.entries) {
         const quarantine_entry entry{each.request, each.level, each.version,
                                      m_loop.now() + each.left, each.times};
         const auto kept = m_quarantine.merge(entry);
         if (!kept)
             continue;
-        const bool contradicted = kept->version != entry.version;
-        logEntry(*kept, contradicted ? "served" : "peer",
-                 contradicted ? m_peers.self() : frame.host);
-        // The peer that told it must hear that it isn't so.
-        if (contradicted)
-            publish({*kept}, origin::Here);
+        const bool overridden = kept->version != entry.version;
+        logEntry(*kept, overridden ? "served" : "peer", overridden ? m_peers.self() : frame.host);
+        // The sender must receive the entry that overrides its own.
+        if (overridden)
+            publish({*kept}, origin::Local);
         else
-            taken.push_back(*kept);
+            accepted.push_back(*kept);
     }
-    publish(taken, frame.host.empty() ? origin::Member : origin::Host);
+    publish(accepted, frame.host.empty() ? origin::Member : origin::Host);
 }
 
 void quarantine_relay::onTrialRequest(const link_ptr &link, const request_digest &request)
 {
-    const bool granted = m_quarantine.tryTrial(request);
+    const bool granted = m_quarantine.tryStartTrial(request);
     if (granted)
-        m_granted[link].insert(request);
+        m_remoteTrials[link].insert(request);
     link->send(trial_answer{request, granted});
 }
 
 void quarantine_relay::onTrialEnd(const link_ptr &link, const request_digest &request)
 {
-    const auto found = m_granted.find(link);
-    if (found != m_granted.end() && found->second.erase(request) > 0)
+    const auto found = m_remoteTrials.find(link);
+    if (found != m_remoteTrials.end() && found->second.erase(request) > 0)
         m_quarantine.endTrial(request);
 }
 
-// A node whose link ended may have ended, too, and its trials with it.
+// The node at the other end of a closed link may have stopped, so its trials are ended.
 void quarantine_relay::onLinkClosed(const link_ptr &link)
 {
-    if (const auto found = m_granted.find(link); found != m_granted.end()) {
+    if (const auto found = m_remoteTrials.find(link); found != m_remoteTrials.end()) {
         for (const auto &request : found->second)
             m_quarantine.endTrial(request);
-        m_granted.erase(found);
+        m_remoteTrials.erase(found);
     }
-    std::erase_if(m_told, [&](const auto &each) { return each.second.link == link; });
-    std::erase_if(m_granting, [&](const auto &each) { return each.second == link; });
+    std::erase_if(m_syncedMembers, [&](const auto &each) { return each.second.link == link; });
+    std::erase_if(m_ownTrialLinks, [&](const auto &each) { return each.second == link; });
     if (m_hostLink != link)
         return;
-    // What was on its way to the host may be lost.
+    // Frames in flight to the host may be lost, so everything is sent again.
     m_hostLink.reset();
-    m_host = {};
+    m_syncedHost = {};
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/quarantine/quarantine_relay.h
+++ b/src/gateway/quarantine/quarantine_relay.h
@@ -14,12 +14,12 @@
 
 namespace orchidlead::gateway {
 
-/// Makes the request quarantines of all nodes one.
+/// Synchronizes the request quarantines of all nodes.
 ///
-/// Every node tells one of them, the host, under which requests it saw servers end; the host
-/// decides and tells all. It is held to nothing: each node keeps what it saw and what it was told,
-/// and hands it to the next host. Nodes that are cut off have a host among themselves. As long as
-/// no server ends, nothing is sent.
+/// Every node reports to one node, the host, which requests were in flight when servers crashed.
+/// The host decides and sends its decisions to all nodes. The host is replaceable at any time: each
+/// node keeps what it detected and received, and sends it to the next host. In a network partition,
+/// each side has a host of its own. Nothing is sent as long as no server crashes.
 class quarantine_relay
 {
 public:
@@ -31,84 +31,88 @@
     {
         return m_quarantine.standingOf(request);
     }
-    /// This node saw a server end.
-    void onServerEnd(const server_end &end);
-    /// This node had the request served.
+    /// Records that this node detected a server crash.
+    void onServerEnd(const server_end &crash);
+    /// Records that a request through this node was served.
     void onServed(const request_digest &request);
-    /// Asks whether a suspected request may be sent to one server; `answer` is called once, later.
-    void askTrial(const request_digest &request, trial_handler answer);
-    /// Ends a trial that was granted.
+    /// Asks the host whether a suspected request may be sent to one server. Calls `answer` exactly
+    /// once, and not before this call returns.
+    void requestTrial(const request_digest &request, trial_handler answer);
+    /// Ends a trial that was granted to this node.
     void endTrial(const request_digest &request);
 
-    /// Follows changes of the host and of the members; call every 100 ms or so.
+    /// Handles changes of the host and of the membership; to be called about every 100 ms.
     void tick();
-    /// A frame about the quarantine; others are ignored.
+    /// Handles frames about the quarantine and ignores all others.
     void onFrame(const std::shared_ptr<peer_link> &link, const peer_frame &frame);
     void onLinkClosed(const std::shared_ptr<peer_link> &link);
 
 private:
     using link_ptr = std::shared_ptr<peer_link>;
 
-    struct open_trial
+    struct pending_trial
     {
         trial_handler answer;
         http::timer_id timer = 0;
     };
 
-    /// Who learnt what is passed on now.
+    /// Source of the entries that are published.
     enum class origin {
-        Here, ///< this node
-        Member, ///< a node that takes this one for the host
+        Local, ///< this node
+        Member, ///< a node that considers this node the host
         Host,
     };
 
-    /// One start of a node: a later one knows nothing of what the earlier one was told.
-    struct node_start
+    /// One start of a node. A node loses the information that it received when it restarts.
+    struct node_instance
     {
         vm_id vm;
-        incarnation number = 0; ///< 0: unknown
+        incarnation incarnationNumber = 0; ///< 0: unknown
 
-        friend bool operator==(const node_start &, const node_start &) = default;
+        friend bool operator==(const node_instance &, const node_instance &) = default;
     };
-    struct told_member
+    struct synced_member
     {
-        incarnation number = 0;
+        incarnation incarnationNumber = 0;
         link_ptr link;
     };
 
-    [[nodiscard]] node_start hostStart();
+    [[nodiscard]] node_instance currentHost();
     [[nodiscard]] incarnation incarnationOf(const vm_id &vm) const;
     [[nodiscard]] bool isHost() { return m_peers.quarantineHost() == m_peers.self(); }
     [[nodiscard]] link_ptr linkToHost();
-    void followHost();
-    void tellMembers();
-    void tellHost(const std::vector<server_end> &ends,
-                  const std::vector<quarantine_entry> &entries);
+    void resyncWithHost();
+    void syncNewMembers();
+    void sendToHost(const std::vector<server_end> &crashes,
+                    const std::vector<quarantine_entry> &entries);
     void publish(const std::vector<quarantine_entry> &entries, origin from);
     void decide();
-    void onEnds(const server_ends_frame &frame);
-    void onEntries(const quarantine_frame &frame);
+    void onServerEndsFrame(const server_ends_frame &frame);
+    void onQuarantineFrame(const quarantine_frame &frame);
     void onTrialRequest(const link_ptr &link, const request_digest &request);
-    /// `link` is null where the host didn't answer in time.
+    /// `link` is null if the host did not answer in time.
     void onTrialAnswer(const link_ptr &link, const trial_answer &answer);
     void onTrialEnd(const link_ptr &link, const request_digest &request);
-    void closeSilentLinks();
-    [[nodiscard]] server_ends_frame makeFrame(const std::vector<server_end> &ends) const;
+    void closeUnresponsiveLinks();
+    [[nodiscard]] server_ends_frame makeFrame(const std::vector<server_end> &crashes) const;
     [[nodiscard]] quarantine_frame makeFrame(const std::vector<quarantine_entry> &entries);
-    /// `by`: who decided that; empty: unknown.
+    /// `by` is the node that decided the entry; empty if unknown.
     void logEntry(const quarantine_entry &entry, std::string_view from, const vm_id &by);
 
     http::io_loop &m_loop;
     peer_network &m_peers;
     wire::log &m_log;
     request_quarantine m_quarantine;
-    node_start m_host; ///< knows everything that this node knows; empty: nobody may
-    link_ptr m_hostLink; ///< over which it was told
-    std::map<vm_id, told_member> m_told; ///< members that were told all entries
-    std::unordered_map<request_digest, std::vector<open_trial>> m_trials; ///< asked for
-    std::unordered_map<request_digest, link_ptr> m_granting; ///< who granted a trial of this node
-    std::map<link_ptr, std::set<request_digest>> m_granted; ///< trials of other nodes
-    steady_time m_nextForget{};
+    node_instance
+        m_syncedHost; ///< the host that has all information of this node; empty: possibly none
+    link_ptr m_hostLink; ///< link used for `m_syncedHost`
+    std::map<vm_id, synced_member> m_syncedMembers; ///< members that have all entries
+    std::unordered_map<request_digest, std::vector<pending_trial>>
+        m_pendingTrials; ///< awaiting an answer
+    std::unordered_map<request_digest, link_ptr>
+        m_ownTrialLinks; ///< link of the host that granted a trial to this node
+    std::map<link_ptr, std::set<request_digest>> m_remoteTrials; ///< trials granted to other nodes
+    steady_time m_nextExpiry{};
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/quarantine/request_digest.cpp
+++ b/src/gateway/quarantine/request_digest.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-struct context_deleter
+struct digest_context_deleter
 {
     void operator()(EVP_MD_CTX *context) const { EVP_MD_CTX_free(context); }
 };
 
-// With its length before it, so that no two identities have the same bytes.
-void add(EVP_MD_CTX *context, std::string_view text)
+// Hashes the length before the text, so that different identities never hash the same bytes.
+void updateWithField(EVP_MD_CTX *context, std::string_view text)
 {
     const std::uint64_t size = text.size();
     EVP_DigestUpdate(context, &size, sizeof size);
@@ -25,34 +25,34 @@
 
 } // namespace
 
-// What is believed of one request decides whether another one with its digest is served. So the
-// customer is the first that is hashed, and the hash is a cryptographic one: no caller can make a
-// request that has the digest of somebody else's.
+// The quarantine state of one request applies to every request with the same digest. The customer
+// is therefore hashed first, and the hash is cryptographic: no caller can construct a request with
+// the digest of another customer's request.
 request_digest requestDigestOf(const request_identity &identity)
 {
-    // Kept, as making one costs more than hashing a short request.
-    static const std::unique_ptr<EVP_MD_CTX, context_deleter> context(EVP_MD_CTX_new());
+    // Reused, because creating a context costs more than hashing a short request.
+    static const std::unique_ptr<EVP_MD_CTX, digest_context_deleter> context(EVP_MD_CTX_new());
     EVP_DigestInit_ex(context.get(), EVP_sha256(), nullptr);
     for (const std::string_view part :
          {std::string_view(identity.customer.value), identity.host, identity.target, identity.body})
-        add(context.get(), part);
-    std::array<std::uint8_t, EVP_MAX_MD_SIZE> full{};
-    EVP_DigestFinal_ex(context.get(), full.data(), nullptr);
+        updateWithField(context.get(), part);
+    std::array<std::uint8_t, EVP_MAX_MD_SIZE> fullHash{};
+    EVP_DigestFinal_ex(context.get(), fullHash.data(), nullptr);
     request_digest digest;
-    std::copy_n(full.begin(), request_digest::Size, digest.bytes.begin());
+    std::copy_n(fullHash.begin(), request_digest::Size, digest.bytes.begin());
     return digest;
 }
 
 std::string toText(const request_digest &digest)
 {
     constexpr std::string_view Digits = "0123456789abcdef";
-    constexpr unsigned HalfByte = 4;
-    constexpr unsigned LowHalf = 0xf;
+    constexpr unsigned NibbleBits = 4;
+    constexpr unsigned LowNibble = 0xf;
     std::string text;
     text.reserve(2 * request_digest::Size);
     for (const unsigned each : digest.bytes) {
-        text += Digits[each >> HalfByte];
-        text += Digits[each & LowHalf];
+        text += Digits[each >> NibbleBits];
+        text += Digits[each & LowNibble];
     }
     return text;
 }
@@ -62,7 +62,7 @@
 std::size_t std::hash<orchidlead::gateway::request_digest>::operator()(
     const orchidlead::gateway::request_digest &digest) const noexcept
 {
-    std::size_t start = 0;
-    std::memcpy(&start, digest.bytes.data(), sizeof start);
-    return start;
+    std::size_t prefix = 0;
+    std::memcpy(&prefix, digest.bytes.data(), sizeof prefix);
+    return prefix;
 }
--- a/src/gateway/quarantine/request_digest.h
+++ b/src/gateway/quarantine/request_digest.h
@@ -12,18 +12,18 @@
 
 namespace orchidlead::gateway {
 
-/// Tells repeats of one request from other requests: equal for the same caller, host, target and
-/// body, whatever id the attempt has, on every node.
+/// Identifies repeats of the same request: equal on every node for the same customer, host, target
+/// and body, whatever the attempt id.
 struct request_digest
 {
     static constexpr std::size_t Size = 16;
     std::array<std::uint8_t, Size> bytes{};
 
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): misdetected as a comparison with a null pointer
     friend auto operator<=>(const request_digest &, const request_digest &) = default;
 };
 
-/// What makes a request the same as another.
+/// The parts of a request by which its repeats are recognized.
 struct request_identity
 {
     customer_id customer; ///< empty: anonymous
@@ -33,7 +33,7 @@
 };
 
 [[nodiscard]] request_digest requestDigestOf(const request_identity &identity);
-/// Gives the hexadecimal text, for logs.
+/// Returns the hexadecimal form, for logs.
 [[nodiscard]] std::string toText(const request_digest &digest);
 
 } // namespace orchidlead::gateway
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -8,38 +8,39 @@
 
 namespace {
 
-// Ends under a request before it is tried on one server at a time, and before it is tried on none.
-// With two, any request that met two crashes would be refused; with four, one server more is lost.
-constexpr std::uint32_t EndsToSuspect = 2;
-constexpr std::uint32_t EndsToQuarantine = 3;
-// Servers that end within this time of each other count as one end: a rack that loses power takes
-// all its servers, whatever they run. Nodes notice within a few milliseconds.
-constexpr milliseconds Together{100};
-// Reports of one server's end from several nodes differ by less than this, and no server is back
-// and ends again within it.
-constexpr milliseconds SameEnd{500};
-// How long a request is in quarantine at first, and at most; doubled each time. A caller whose
-// request was taken for another one's crash waits so long, and each try afterwards may cost a
-// server.
-constexpr std::chrono::minutes FirstQuarantine{5};
-constexpr std::chrono::minutes LongestQuarantine{60};
-// How long ends count. Callers repeat within their patience, at most minutes.
-constexpr std::chrono::minutes EndMemory{10};
-// How long a request that was served isn't blamed: many requests with one digest, of which some are
-// at each server that ends, are served elsewhere meanwhile.
-constexpr std::chrono::seconds ServedMemory{30};
-// How long a trial bars others where nothing is heard of its end: longer than any request runs.
-constexpr std::chrono::seconds LongestTrial{30};
-// Bounds on memory: an end takes about 100 bytes and 50 for each request, an entry 150. A day with
-// more ends than these in ten minutes has lost all servers several times over.
-constexpr std::size_t MaxEnds = 1024;
-constexpr std::size_t MaxRequestsOfEnd = 512;
+// Independent crashes after which a request is tried on only one server at a time, and after which
+// it is sent to no server. A quarantine after two crashes would refuse every request that was in
+// flight during two unrelated crashes; a quarantine after four would cost one more server.
+constexpr std::uint32_t CrashesToSuspect = 2;
+constexpr std::uint32_t CrashesToQuarantine = 3;
+// Servers that crash within this time of each other count as one crash: a rack that loses power
+// stops all its servers, whatever they run. Nodes detect a crash within a few milliseconds.
+constexpr milliseconds SimultaneousWindow{100};
+// Reports of one crash from several nodes differ by less than this time, and no server restarts and
+// crashes again within it.
+constexpr milliseconds DuplicateReportWindow{500};
+// First and longest duration of a quarantine; the duration doubles with each quarantine. The caller
+// of a request that was quarantined for a crash caused by another request waits this long, but each
+// attempt afterwards may crash a server.
+constexpr std::chrono::minutes InitialQuarantine{5};
+constexpr std::chrono::minutes MaxQuarantine{60};
+// How long a crash is counted. Callers repeat a request within their timeout, at most minutes.
+constexpr std::chrono::minutes CrashRetention{10};
+// How long crashes are not attributed to a request after it was served. Of many requests with one
+// digest, some are in flight to each server that crashes while others are served elsewhere.
+constexpr std::chrono::seconds ServedRetention{30};
+// How long a trial whose end is not reported blocks other trials: longer than any request runs.
+constexpr std::chrono::seconds MaxTrialDuration{30};
+// Memory bounds: a crash takes about 100 bytes plus 50 bytes per request, an entry 150 bytes. More
+// crashes than this within ten minutes mean that all servers have crashed several times over.
+constexpr std::size_t MaxCrashes = 1024;
+constexpr std::size_t MaxRequestsPerCrash = 512;
 constexpr std::size_t MaxEntries = 8192;
 constexpr std::size_t MaxServed = 16'384;
 
-// A server that had ended already answers a request so within a round trip, 4 ms; one on which it
-// began to run takes longer to end.
-constexpr milliseconds LeastRun{10};
+// A request to a server that has already crashed fails within a round trip, 4 ms. A server that
+// started to run the request takes longer to crash.
+constexpr milliseconds MinExposure{10};
 
 } // namespace
 
@@ -47,127 +48,134 @@
     : m_clock(clock)
 { }
 
-request_quarantine::end_list::iterator request_quarantine::findEnd(const server_end &end)
+request_quarantine::crash_list::iterator request_quarantine::findCrash(const server_end &crash)
 {
-    return std::ranges::find_if(m_ends, [&](const server_end &each) {
-        const auto apart = each.at < end.at ? end.at - each.at : each.at - end.at;
-        return each.server == end.server && apart < SameEnd;
+    return std::ranges::find_if(m_crashes, [&](const server_end &each) {
+        const auto apart = each.at < crash.at ? crash.at - each.at : each.at - crash.at;
+        return each.server == crash.server && apart < DuplicateReportWindow;
     });
 }
 
-bool request_quarantine::servedLately(const request_digest &request, steady_time at) const
+bool request_quarantine::servedRecently(const request_digest &request, steady_time at) const
 {
     const auto found = m_served.find(request);
-    return found != m_served.end() && found->second + ServedMemory > at;
+    return found != m_served.end() && found->second + ServedRetention > at;
 }
 
-bool request_quarantine::onServerEnd(const server_end &end)
+bool request_quarantine::onServerEnd(const server_end &crash)
 {
-    auto known = findEnd(end);
-    const bool isNew = known == m_ends.end();
+    auto known = findCrash(crash);
+    const bool isNew = known == m_crashes.end();
     if (isNew) {
-        if (m_ends.size() >= MaxEnds)
-            forgetEnd(m_ends.begin());
-        known = m_ends.insert(m_ends.end(), server_end{end.server, end.at, {}});
+        if (m_crashes.size() >= MaxCrashes)
+            removeCrash(m_crashes.begin());
+        known = m_crashes.insert(m_crashes.end(), server_end{crash.server, crash.at, {}});
     }
-    bool learnt = isNew;
-    for (const auto &request : end.requests) {
-        const bool full = known->requests.size() >= MaxRequestsOfEnd;
-        if (full || servedLately(request.digest, end.at) || !addInterrupted(*known, request))
+    bool addsInformation = isNew;
+    for (const auto &request : crash.requests) {
+        const bool full = known->requests.size() >= MaxRequestsPerCrash;
+        if (full || servedRecently(request.digest, crash.at)
+            || !addInterruptedRequest(*known, request))
             continue;
-        m_byRequest[request.digest].push_back(known);
-        m_undecided.insert(request.digest);
-        learnt = true;
+        m_crashesByRequest[request.digest].push_back(known);
+        m_pending.insert(request.digest);
+        addsInformation = true;
     }
-    return learnt;
+    return addsInformation;
 }
 
-std::vector<request_quarantine::run> request_quarantine::runsOf(const request_digest &request) const
+std::vector<request_quarantine::exposure>
+request_quarantine::exposuresOf(const request_digest &request) const
 {
-    std::vector<run> runs;
-    const auto found = m_byRequest.find(request);
-    if (found == m_byRequest.end())
-        return runs;
-    for (const auto &end : found->second) {
-        const auto at = std::ranges::find(end->requests, request, &interrupted_request::digest);
-        runs.push_back({at->sentAt, &*end});
+    std::vector<exposure> exposures;
+    const auto found = m_crashesByRequest.find(request);
+    if (found == m_crashesByRequest.end())
+        return exposures;
+    for (const auto &crash : found->second) {
+        const auto at = std::ranges::find(crash->requests, request, &interrupted_request::digest);
+        exposures.push_back({at->sentAt, &*crash});
     }
-    std::ranges::sort(runs, {}, [](const run &each) { return each.end->at; });
-    return runs;
+    std::ranges::sort(exposures, {}, [](const exposure &each) { return each.crash->at; });
+    return exposures;
 }
 
-std::uint32_t request_quarantine::countIndependent(const std::vector<run> &runs)
+std::uint32_t request_quarantine::countIndependent(const std::vector<exposure> &exposures)
 {
     std::uint32_t count = 0;
     steady_time last;
-    for (const auto &each : runs) {
-        const bool apart = last + Together < each.end->at;
-        const bool ranAfter = each.sentAt > last && each.end->at - each.sentAt >= LeastRun;
-        if (count > 0 && !apart && !ranAfter)
+    for (const auto &each : exposures) {
+        const bool apart = last + SimultaneousWindow < each.crash->at;
+        const bool exposedAfter = each.sentAt > last && each.crash->at - each.sentAt >= MinExposure;
+        if (count > 0 && !apart && !exposedAfter)
             continue;
-        last = each.end->at;
+        last = each.crash->at;
         ++count;
     }
     return count;
 }
 
-std::uint32_t request_quarantine::seenBy(const request_digest &request) const
+std::uint32_t request_quarantine::crashCountOf(const request_digest &request) const
 {
-    return countIndependent(runsOf(request));
+    return countIndependent(exposuresOf(request));
 }
 
-// A request that was at more ends explains them, or one in quarantine that was at no fewer.
-bool request_quarantine::explains(const request_digest &other, std::uint32_t seen) const
+// Another request is the likelier cause if it was in flight during more crashes, or if it is in
+// quarantine and was in flight during as many.
+bool request_quarantine::isLikelierCause(const request_digest &other,
+                                         std::uint32_t crashCount) const
 {
-    const auto theirs = seenBy(other);
+    const auto otherCrashCount = crashCountOf(other);
     const bool quarantined = standingOf(other).level == quarantine_level::Quarantined;
-    return theirs > seen || (quarantined && theirs == seen);
+    return otherCrashCount > crashCount || (quarantined && otherCrashCount == crashCount);
 }
 
-bool request_quarantine::countsAgainst(const server_end &end, const request_digest &request,
-                                       std::uint32_t seen) const
+bool request_quarantine::isAttributedTo(const server_end &crash, const request_digest &request,
+                                        std::uint32_t crashCount) const
 {
-    return std::ranges::none_of(end.requests, [&](const interrupted_request &other) {
-        return other.digest != request && explains(other.digest, seen);
+    return std::ranges::none_of(crash.requests, [&](const interrupted_request &other) {
+        return other.digest != request && isLikelierCause(other.digest, crashCount);
     });
 }
 
 request_quarantine::evidence request_quarantine::evidenceOf(const request_digest &request) const
 {
     evidence found;
-    auto runs = runsOf(request);
-    found.seen = countIndependent(runs);
-    for (const auto &each : runs)
-        found.servers.push_back(each.end->server);
-    if (found.seen < EndsToSuspect)
+    auto exposures = exposuresOf(request);
+    found.crashCount = countIndependent(exposures);
+    for (const auto &each : exposures)
+        found.servers.push_back(each.crash->server);
+    if (found.crashCount < CrashesToSuspect)
         return found;
-    std::erase_if(runs,
-                  [&](const run &each) { return !countsAgainst(*each.end, request, found.seen); });
-    found.charged = countIndependent(runs);
+    std::erase_if(exposures, [&](const exposure &each) {
+        return !isAttributedTo(*each.crash, request, found.crashCount);
+    });
+    found.attributed = countIndependent(exposures);
     return found;
 }
 
-bool request_quarantine::endedSince(const request_digest &request, steady_time since) const
+bool request_quarantine::crashedSince(const request_digest &request, steady_time since) const
 {
-    return std::ranges::any_of(runsOf(request),
-                               [&](const run &each) { return each.end->at >= since; });
+    return std::ranges::any_of(exposuresOf(request),
+                               [&](const exposure &each) { return each.crash->at >= since; });
 }
 
-// Once it was in quarantine, the first end after that is enough.
-quarantine_level request_quarantine::judge(const request_digest &request) const
+// After a first quarantine, a single further crash starts the next quarantine.
+quarantine_level request_quarantine::evaluateLevel(const request_digest &request) const
 {
     const auto known = m_entries.find(request);
-    if (known != m_entries.end() && known->second.times > 0) {
-        const bool again = endedSince(request, known->second.until);
+    if (known != m_entries.end() && known->second.quarantineCount > 0) {
+        const bool again = crashedSince(request, known->second.expiresAt);
         return again ? quarantine_level::Quarantined : standingOf(request).level;
     }
     const auto found = evidenceOf(request);
-    if (found.charged >= EndsToQuarantine)
+    if (found.attributed >= CrashesToQuarantine)
         return quarantine_level::Quarantined;
-    return found.seen >= EndsToSuspect ? quarantine_level::Suspected : quarantine_level::Free;
+    return found.crashCount >= CrashesToSuspect ? quarantine_level::Suspected
+                                                : quarantine_level::Free;
 }
 
-quarantine_entry &request_quarantine::set(const request_digest &request, quarantine_level level)
+quarantine_entry &request_quarantine::setLevel(const request_digest &request,
+                                               quarantine_level level)
 {
     auto &entry = m_entries[request];
     const auto sinceEpoch = m_clock.wallNow().time_since_epoch();
@@ -177,43 +185,45 @@
     entry.level = level;
     if (level == quarantine_level::Quarantined) {
         constexpr std::uint32_t MaxDoublings = 4;
-        const auto doublings = std::min(entry.times, MaxDoublings);
-        const auto time = std::min(FirstQuarantine * (1U << doublings), LongestQuarantine);
-        entry.until = m_clock.now() + time;
-        ++entry.times;
+        const auto doublings = std::min(entry.quarantineCount, MaxDoublings);
+        const auto time = std::min(InitialQuarantine * (1U << doublings), MaxQuarantine);
+        entry.expiresAt = m_clock.now() + time;
+        ++entry.quarantineCount;
     } else {
-        entry.until = m_clock.now() + EndMemory;
-        entry.times = 0;
+        entry.expiresAt = m_clock.now() + CrashRetention;
+        entry.quarantineCount = 0;
     }
     return entry;
 }
 
-// Only a request that was served, or ends that others explain, lower a level.
-void request_quarantine::decideAbout(const request_digest &request,
-                                     std::vector<quarantine_entry> &changed)
+// Only raises the level. Apart from expiry, a level is lowered only when the request is served or
+// when its crashes are attributed to another request.
+void request_quarantine::raiseLevel(const request_digest &request,
+                                    std::vector<quarantine_entry> &changed)
 {
-    const auto level = judge(request);
+    const auto level = evaluateLevel(request);
     const bool full = m_entries.size() >= MaxEntries && !m_entries.contains(request);
     if (level <= standingOf(request).level || full)
         return;
-    changed.push_back(set(request, level));
+    changed.push_back(setLevel(request, level));
     if (level == quarantine_level::Quarantined)
-        clearOthersAt(request, changed);
+        lowerMisattributed(request, changed);
 }
 
-// What is known now may explain what others were blamed for.
-void request_quarantine::clearOthersAt(const request_digest &request,
-                                       std::vector<quarantine_entry> &changed)
+// Crashes that were attributed to other requests may now be attributed to this one. Requests that
+// were quarantined for these crashes become suspected again.
+void request_quarantine::lowerMisattributed(const request_digest &request,
+                                            std::vector<quarantine_entry> &changed)
 {
-    for (const auto &each : runsOf(request)) {
-        for (const auto &[other, sentAt] : each.end->requests) {
+    for (const auto &each : exposuresOf(request)) {
+        for (const auto &[other, sentAt] : each.crash->requests) {
             const auto found = m_entries.find(other);
             if (other == request || found == m_entries.end())
                 continue;
-            const bool blamed =
-                found->second.level == quarantine_level::Quarantined && found->second.times == 1;
-            if (blamed && evidenceOf(other).charged < EndsToQuarantine)
-                changed.push_back(set(other, quarantine_level::Suspected));
+            const bool inFirstQuarantine = found->second.level == quarantine_level::Quarantined
+                && found->second.quarantineCount == 1;
+            if (inFirstQuarantine && evidenceOf(other).attributed < CrashesToQuarantine)
+                changed.push_back(setLevel(other, quarantine_level::Suspected));
         }
     }
 }
@@ -221,47 +231,49 @@
 std::vector<quarantine_entry> request_quarantine::decide()
 {
     std::vector<quarantine_entry> changed;
-    std::vector<request_digest> open(m_undecided.begin(), m_undecided.end());
-    m_undecided.clear();
-    // The most suspect first: it may explain what the others were at.
-    std::ranges::sort(open, std::greater<>{},
-                      [this](const request_digest &each) { return std::pair(seenBy(each), each); });
-    for (const auto &each : open)
-        decideAbout(each, changed);
+    std::vector<request_digest> pending(m_pending.begin(), m_pending.end());
+    m_pending.clear();
+    // In descending order of crashes, because a request with more crashes may account for the
+    // crashes of the others.
+    std::ranges::sort(pending, std::greater<>{}, [this](const request_digest &each) {
+        return std::pair(crashCountOf(each), each);
+    });
+    for (const auto &each : pending)
+        raiseLevel(each, changed);
     return changed;
 }
 
-void request_quarantine::forgetEndsOf(const request_digest &request)
+void request_quarantine::removeExposuresOf(const request_digest &request)
 {
-    const auto found = m_byRequest.find(request);
-    if (found == m_byRequest.end())
+    const auto found = m_crashesByRequest.find(request);
+    if (found == m_crashesByRequest.end())
         return;
-    for (const auto &end : found->second)
-        std::erase_if(end->requests, [&](const auto &each) { return each.digest == request; });
-    m_byRequest.erase(found);
+    for (const auto &crash : found->second)
+        std::erase_if(crash->requests, [&](const auto &each) { return each.digest == request; });
+    m_crashesByRequest.erase(found);
 }
 
-void request_quarantine::forgetEnd(end_list::iterator end)
+void request_quarantine::removeCrash(crash_list::iterator crash)
 {
-    for (const auto &request : end->requests) {
-        const auto found = m_byRequest.find(request.digest);
-        std::erase(found->second, end);
+    for (const auto &request : crash->requests) {
+        const auto found = m_crashesByRequest.find(request.digest);
+        std::erase(found->second, crash);
         if (found->second.empty())
-            m_byRequest.erase(found);
+            m_crashesByRequest.erase(found);
     }
-    m_ends.erase(end);
+    m_crashes.erase(crash);
 }
 
 std::optional<quarantine_entry> request_quarantine::onServed(const request_digest &request)
 {
     if (m_served.size() < MaxServed || m_served.contains(request))
         m_served[request] = m_clock.now();
-    m_trials.erase(request);
-    forgetEndsOf(request);
+    m_trialExpiry.erase(request);
+    removeExposuresOf(request);
     const auto found = m_entries.find(request);
     if (found == m_entries.end() || found->second.level == quarantine_level::Free)
         return std::nullopt;
-    return set(request, quarantine_level::Free);
+    return setLevel(request, quarantine_level::Free);
 }
 
 std::optional<quarantine_entry> request_quarantine::merge(const quarantine_entry &entry)
@@ -273,11 +285,11 @@
         return std::nullopt;
     auto &kept = m_entries[entry.request];
     kept = entry;
-    // Whoever decided on a request that was served here didn't know it.
-    if (kept.level != quarantine_level::Free && servedLately(entry.request, m_clock.now()))
-        kept = set(entry.request, quarantine_level::Free);
+    // The node that decided this entry did not know that the request has been served here.
+    if (kept.level != quarantine_level::Free && servedRecently(entry.request, m_clock.now()))
+        kept = setLevel(entry.request, quarantine_level::Free);
     if (kept.level == quarantine_level::Free)
-        forgetEndsOf(entry.request);
+        removeExposuresOf(entry.request);
     return kept;
 }
 
@@ -288,29 +300,29 @@
         return {};
     const auto &entry = found->second;
     const auto now = m_clock.now();
-    if (entry.level == quarantine_level::Quarantined && now >= entry.until)
+    if (entry.level == quarantine_level::Quarantined && now >= entry.expiresAt)
         return {quarantine_level::Suspected, milliseconds{0}};
     if (entry.level != quarantine_level::Quarantined)
         return {entry.level, milliseconds{0}};
-    return {entry.level, std::chrono::duration_cast<milliseconds>(entry.until - now)};
+    return {entry.level, std::chrono::duration_cast<milliseconds>(entry.expiresAt - now)};
 }
 
-bool request_quarantine::tryTrial(const request_digest &request)
+bool request_quarantine::tryStartTrial(const request_digest &request)
 {
     const auto level = standingOf(request).level;
     if (level != quarantine_level::Suspected)
         return level == quarantine_level::Free;
     const auto now = m_clock.now();
-    auto &until = m_trials[request];
+    auto &until = m_trialExpiry[request];
     if (until > now)
         return false;
-    until = now + LongestTrial;
+    until = now + MaxTrialDuration;
     return true;
 }
 
-std::vector<server_end> request_quarantine::ends() const
+std::vector<server_end> request_quarantine::crashes() const
 {
-    return {m_ends.begin(), m_ends.end()};
+    return {m_crashes.begin(), m_crashes.end()};
 }
 
 std::vector<quarantine_entry> request_quarantine::entries() const
@@ -322,22 +334,22 @@
     return all;
 }
 
-void request_quarantine::forgetOld()
+void request_quarantine::removeExpired()
 {
     const auto now = m_clock.now();
-    for (auto end = m_ends.begin(); end != m_ends.end();) {
-        const auto next = std::next(end);
-        if (end->at + EndMemory < now)
-            forgetEnd(end);
-        end = next;
+    for (auto crash = m_crashes.begin(); crash != m_crashes.end();) {
+        const auto next = std::next(crash);
+        if (crash->at + CrashRetention < now)
+            removeCrash(crash);
+        crash = next;
     }
-    std::erase_if(m_served, [&](const auto &each) { return each.second + ServedMemory < now; });
-    std::erase_if(m_undecided, [&](const auto &each) { return !m_byRequest.contains(each); });
-    std::erase_if(m_trials, [&](const auto &each) { return each.second < now; });
+    std::erase_if(m_served, [&](const auto &each) { return each.second + ServedRetention < now; });
+    std::erase_if(m_pending, [&](const auto &each) { return !m_crashesByRequest.contains(each); });
+    std::erase_if(m_trialExpiry, [&](const auto &each) { return each.second < now; });
     std::erase_if(m_entries, [&](const auto &each) {
         const auto &entry = each.second;
-        const auto kept = entry.times > 0 ? LongestQuarantine : std::chrono::minutes{0};
-        return entry.until + kept < now;
+        const auto retention = entry.quarantineCount > 0 ? MaxQuarantine : std::chrono::minutes{0};
+        return entry.expiresAt + retention < now;
     });
 }
 
--- a/src/gateway/quarantine/request_quarantine.h
+++ b/src/gateway/quarantine/request_quarantine.h
@@ -17,52 +17,55 @@
 
 namespace orchidlead::gateway {
 
-/// How a request is treated on account of the servers that ended under it.
+/// How a request is treated because of server crashes during it.
 enum class quarantine_level : std::uint8_t {
-    Free, ///< as any other
-    Suspected, ///< tried on one server at a time, by all nodes together
-    Quarantined, ///< sent to no server
+    Free, ///< sent without restriction
+    Suspected, ///< tried on one server at a time, across all nodes
+    Quarantined, ///< not sent to any server
 };
 
-/// What was decided about one request. Nodes hand entries to each other; the later version of an
-/// entry replaces the earlier one.
+/// The decision about one request. Nodes exchange entries; a later version of an entry replaces an
+/// earlier one.
 struct quarantine_entry
 {
     request_digest request;
     quarantine_level level = quarantine_level::Free;
-    /// Microseconds of the decider's time of day, and more than that of the entry before.
+    /// Wall-clock time of the deciding node in microseconds; always greater than the version of the
+    /// previous entry.
     std::uint64_t version = 0;
-    /// A quarantine ends then, and the request is suspected; other entries are forgotten.
-    steady_time until{};
-    std::uint32_t times = 0; ///< that it was quarantined since it was last served
+    /// When the entry expires: a quarantined request becomes suspected, other entries are removed.
+    steady_time expiresAt{};
+    std::uint32_t quarantineCount = 0; ///< number of quarantines since the request was last served
 };
 
-/// Remembers under which requests servers ended, and keeps requests that end servers from them. No
-/// I/O.
+/// Records which requests were in flight when servers crashed, and stops sending requests that
+/// crash servers. Does no I/O.
 ///
-/// A request that crashes the server that runs it does so wherever it is sent, and its caller
-/// repeats it. Every server that ends takes the requests of other callers with it, so one such
-/// caller can empty a service within seconds.
+/// A request that crashes its server does so wherever it is sent, and its caller repeats it. Each
+/// crash also fails the requests of other callers, so one such caller can bring down all servers of
+/// a service within seconds.
 ///
-/// Requests that happened to be at the same servers are told from it so: servers that end together
-/// count as one end, unless the request came to the later one after the earlier one; an end counts
-/// only against those that were at the most ends; and a request that was served lately, by any
-/// node, isn't blamed at all.
+/// Three rules keep other requests that were in flight to the same servers out of quarantine.
+/// Servers that crash together count as one crash, unless the request was sent to the later one
+/// after the earlier one had crashed. A crash is attributed only to the requests that were in
+/// flight during the most crashes. No crash is attributed to a request that any node served
+/// recently.
 class request_quarantine
 {
 public:
     explicit request_quarantine(const clock_source &clock);
 
-    /// Takes what a node saw. False where nothing of it is new.
-    bool onServerEnd(const server_end &end);
-    /// Decides about the requests of ends that were taken since the last call; gives what changed.
+    /// Adds a crash that a node detected. Returns false if it adds no information.
+    bool onServerEnd(const server_end &crash);
+    /// Updates the levels of requests that crashes were added for since the last call. Returns the
+    /// changed entries.
     [[nodiscard]] std::vector<quarantine_entry> decide();
-    /// A server ran the request to a good end. Gives the entry where that changes it.
+    /// Records that a server completed the request successfully. Returns the entry if it changed.
     [[nodiscard]] std::optional<quarantine_entry> onServed(const request_digest &request);
-    /// Takes another node's entry. Gives what is in force then, where it differs from before.
+    /// Merges an entry from another node. Returns the entry that is now in force if it changed.
     [[nodiscard]] std::optional<quarantine_entry> merge(const quarantine_entry &entry);
 
-    /// How a request is treated now, and how long that lasts where it is in quarantine.
+    /// How a request is treated now, and the remaining time of its quarantine if it is in one.
     struct standing
     {
         quarantine_level level = quarantine_level::Free;
@@ -70,58 +73,60 @@
     };
     [[nodiscard]] standing standingOf(const request_digest &request) const;
 
-    /// Gives a suspected request the right to be sent to one server, unless it is at one now.
-    [[nodiscard]] bool tryTrial(const request_digest &request);
-    void endTrial(const request_digest &request) { m_trials.erase(request); }
+    /// Returns whether the request may be sent now. For a suspected request this starts a trial,
+    /// unless one is in progress.
+    [[nodiscard]] bool tryStartTrial(const request_digest &request);
+    void endTrial(const request_digest &request) { m_trialExpiry.erase(request); }
 
-    /// What another node needs to go on from here.
-    [[nodiscard]] std::vector<server_end> ends() const;
+    /// Return the state that another node needs to take over the decisions.
+    [[nodiscard]] std::vector<server_end> crashes() const;
     [[nodiscard]] std::vector<quarantine_entry> entries() const;
-    /// Forgets what is too old to count; call every second or so.
-    void forgetOld();
+    /// Removes expired records; to be called about once per second.
+    void removeExpired();
 
-    /// Independent ends that a request was at, and those of them that count against it.
+    /// The number of independent crashes during a request, and of those attributed to it.
     struct evidence
     {
-        std::uint32_t seen = 0;
-        std::uint32_t charged = 0;
-        std::vector<backend_server_id> servers; ///< that ended, in that order
+        std::uint32_t crashCount = 0;
+        std::uint32_t attributed = 0;
+        std::vector<backend_server_id> servers; ///< in the order of their crashes
     };
     [[nodiscard]] evidence evidenceOf(const request_digest &request) const;
 
 private:
-    using end_list = std::list<server_end>;
+    using crash_list = std::list<server_end>;
 
-    [[nodiscard]] end_list::iterator findEnd(const server_end &end);
-    [[nodiscard]] bool servedLately(const request_digest &request, steady_time at) const;
-    /// An end that a request was at.
-    struct run
+    [[nodiscard]] crash_list::iterator findCrash(const server_end &crash);
+    [[nodiscard]] bool servedRecently(const request_digest &request, steady_time at) const;
+    /// One crash during which a request was in flight.
+    struct exposure
     {
         steady_time sentAt;
-        const server_end *end = nullptr;
+        const server_end *crash = nullptr;
     };
-    [[nodiscard]] std::vector<run> runsOf(const request_digest &request) const;
-    [[nodiscard]] static std::uint32_t countIndependent(const std::vector<run> &runs);
-    [[nodiscard]] std::uint32_t seenBy(const request_digest &request) const;
-    /// `seen`: ends that the request was at, as in the evidence.
-    [[nodiscard]] bool explains(const request_digest &other, std::uint32_t seen) const;
-    [[nodiscard]] bool countsAgainst(const server_end &end, const request_digest &request,
-                                     std::uint32_t seen) const;
-    [[nodiscard]] bool endedSince(const request_digest &request, steady_time since) const;
-    [[nodiscard]] quarantine_level judge(const request_digest &request) const;
-    quarantine_entry &set(const request_digest &request, quarantine_level level);
-    void decideAbout(const request_digest &request, std::vector<quarantine_entry> &changed);
-    void clearOthersAt(const request_digest &request, std::vector<quarantine_entry> &changed);
-    void forgetEndsOf(const request_digest &request);
-    void forgetEnd(end_list::iterator end);
+    [[nodiscard]] std::vector<exposure> exposuresOf(const request_digest &request) const;
+    [[nodiscard]] static std::uint32_t countIndependent(const std::vector<exposure> &exposures);
+    [[nodiscard]] std::uint32_t crashCountOf(const request_digest &request) const;
+    /// Returns whether `other` is a likelier cause of a crash than a request with `crashCount`
+    /// independent crashes.
+    [[nodiscard]] bool isLikelierCause(const request_digest &other, std::uint32_t crashCount) const;
+    [[nodiscard]] bool isAttributedTo(const server_end &crash, const request_digest &request,
+                                      std::uint32_t crashCount) const;
+    [[nodiscard]] bool crashedSince(const request_digest &request, steady_time since) const;
+    [[nodiscard]] quarantine_level evaluateLevel(const request_digest &request) const;
+    quarantine_entry &setLevel(const request_digest &request, quarantine_level level);
+    void raiseLevel(const request_digest &request, std::vector<quarantine_entry> &changed);
+    void lowerMisattributed(const request_digest &request, std::vector<quarantine_entry> &changed);
+    void removeExposuresOf(const request_digest &request);
+    void removeCrash(crash_list::iterator crash);
 
     const clock_source &m_clock;
-    end_list m_ends; ///< in the order in which they were told
-    std::unordered_map<request_digest, std::vector<end_list::iterator>> m_byRequest;
-    std::unordered_set<request_digest> m_undecided; ///< at ends that were taken since
+    crash_list m_crashes; ///< in the order in which they were reported
+    std::unordered_map<request_digest, std::vector<crash_list::iterator>> m_crashesByRequest;
+    std::unordered_set<request_digest> m_pending; ///< with crashes added since the last `decide`
     std::unordered_map<request_digest, quarantine_entry> m_entries;
     std::unordered_map<request_digest, steady_time> m_served;
-    std::unordered_map<request_digest, steady_time> m_trials; ///< until when they bar others
+    std::unordered_map<request_digest, steady_time> m_trialExpiry; ///< when trials stop blocking
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/quarantine/server_end_observer.cpp
+++ b/src/gateway/quarantine/server_end_observer.cpp
@@ -5,12 +5,12 @@
 
 namespace orchidlead::gateway {
 
-bool addInterrupted(server_end &end, const interrupted_request &request)
+bool addInterruptedRequest(server_end &crash, const interrupted_request &request)
 {
     const auto known =
-        std::ranges::find(end.requests, request.digest, &interrupted_request::digest);
-    if (known == end.requests.end()) {
-        end.requests.push_back(request);
+        std::ranges::find(crash.requests, request.digest, &interrupted_request::digest);
+    if (known == crash.requests.end()) {
+        crash.requests.push_back(request);
         return true;
     }
     known->sentAt = std::min(known->sentAt, request.sentAt);
@@ -21,22 +21,23 @@
     : m_clock(clock)
 { }
 
-// All connections of a server that ends break off within milliseconds: one try serves them all.
+// All connections to a crashed server break within milliseconds of each other, so one probe
+// connection is enough for all of them.
 bool server_end_observer::onBroken(const backend_server_id &server,
                                    const interrupted_request &request)
 {
-    const auto [entry, isFirst] = m_open.try_emplace(server);
+    const auto [probed, isFirst] = m_probed.try_emplace(server);
     if (isFirst) {
-        entry->second.server = server;
-        entry->second.at = m_clock.now();
+        probed->second.server = server;
+        probed->second.at = m_clock.now();
     }
-    addInterrupted(entry->second, request);
+    addInterruptedRequest(probed->second, request);
     return isFirst;
 }
 
 std::optional<server_end> server_end_observer::onConnectOutcome(const backend_server_id &server)
 {
-    auto node = m_open.extract(server);
+    auto node = m_probed.extract(server);
     if (node.empty())
         return std::nullopt;
     return std::move(node.mapped());
--- a/src/gateway/quarantine/server_end_observer.h
+++ b/src/gateway/quarantine/server_end_observer.h
@@ -12,42 +12,45 @@
 
 namespace orchidlead::gateway {
 
-/// A request that was at a server when the server ended.
+/// A request that was in flight to a server when the server crashed.
 struct interrupted_request
 {
     request_digest digest;
     steady_time sentAt;
 };
 
-/// A server ended while requests were at it.
+/// The crash of a server that had requests in flight.
 struct server_end
 {
     backend_server_id server;
-    steady_time at; ///< when the first connection broke off
-    std::vector<interrupted_request> requests; ///< each once
+    steady_time at; ///< when the first connection broke
+    std::vector<interrupted_request> requests; ///< without duplicates
 };
 
-/// Adds a request that was at the server; of several copies the first that was sent counts.
-/// False where that is known.
-bool addInterrupted(server_end &end, const interrupted_request &request);
+/// Adds a request that was in flight to the server. Several copies of a request are kept as one,
+/// with the earliest send time. Returns false if the request is already listed.
+bool addInterruptedRequest(server_end &crash, const interrupted_request &request);
 
-/// Tells servers that ended from connections that did: where a connection broke off amid an answer,
-/// a new one to the server is refused once nobody listens there. No I/O.
+/// Distinguishes crashed servers from broken connections: after a connection breaks in the middle
+/// of an answer, a new connection to the server is refused if the server no longer listens. Does no
+/// I/O itself.
 class server_end_observer
 {
 public:
     explicit server_end_observer(const clock_source &clock);
 
-    /// A connection broke off while the request was at the server. Tells whether a new connection
-    /// to it is to be tried now, whose outcome is then told by `onConnectOutcome`.
+    /// Records that a connection broke while the request was in flight to the server. Returns
+    /// whether the caller must open a probe connection to the server now and report its outcome
+    /// with `onConnectOutcome`.
     [[nodiscard]] bool onBroken(const backend_server_id &server,
                                 const interrupted_request &request);
-    /// Gives what was at the server when its connections broke off; empty where nothing did.
+    /// Returns the requests that were in flight when connections to the server broke; empty if no
+    /// connection to it broke.
     [[nodiscard]] std::optional<server_end> onConnectOutcome(const backend_server_id &server);
 
 private:
     const clock_source &m_clock;
-    std::map<backend_server_id, server_end> m_open; ///< connections being tried
+    std::map<backend_server_id, server_end> m_probed; ///< servers with an open probe connection
 };
 
 } // namespace orchidlead::gateway
--- a/tests/gateway/request_digest_test.cpp
+++ b/tests/gateway/request_digest_test.cpp
@@ -8,7 +8,7 @@
 using namespace orchidlead;
 using namespace orchidlead::gateway;
 
-TEST_CASE("request_digest: repeats of a request have one digest")
+TEST_CASE("request_digest: repeats of a request have the same digest")
 {
     const std::string body(1U << 20U, 'x');
     const auto first = requestDigestOf({customer_id("c"), "h.example", "/p/x?y=1", body});
@@ -17,7 +17,7 @@
     CHECK(std::hash<request_digest>{}(first) == std::hash<request_digest>{}(again));
 }
 
-TEST_CASE("request_digest: another customer, host, target or body has another digest")
+TEST_CASE("request_digest: a different customer, host, target or body changes the digest")
 {
     const std::vector<request_identity> others{
         {customer_id("c"), "h.example", "/p/x", "body"},
@@ -27,7 +27,7 @@
         {customer_id("c"), "h.example", "/p/x?", "body"},
         {customer_id("c"), "h.example", "/p/x", "bodY"},
         {customer_id("c"), "h.example", "/p/x", ""},
-        // The same bytes one after the other, divided elsewhere.
+        // The same concatenated bytes, split at other positions.
         {customer_id("c"), "h.example/p", "/x", "body"},
         {customer_id("ch"), ".example", "/p/x", "body"},
         {customer_id(), "ch.example", "/p/x", "body"},
@@ -40,7 +40,7 @@
     }
 }
 
-TEST_CASE("request_digest: its text is the hexadecimal form")
+TEST_CASE("request_digest: toText returns the hexadecimal form")
 {
     request_digest digest;
     digest.bytes.front() = 0x0f;
--- a/tests/gateway/request_quarantine_test.cpp
+++ b/tests/gateway/request_quarantine_test.cpp
@@ -18,21 +18,22 @@
 
 const request_digest Crashing = digestNumber(0);
 
-/// One node's knowledge, and servers that end one after the other.
+/// The quarantine of one node, and servers that crash one after the other.
 struct quarantine_world
 {
-    /// A further server ends now, to which these requests were sent then.
-    server_end makeEnd(const std::vector<request_digest> &requests, steady_time sentAt)
+    /// Makes the record of another server that crashes now and was sent these requests at `sentAt`.
+    server_end makeCrash(const std::vector<request_digest> &requests, steady_time sentAt)
     {
-        server_end end{backend_server_id("s-" + std::to_string(++ended)), clock.now(), {}};
+        server_end crash{
+            backend_server_id("s-" + std::to_string(++crashedServers)), clock.now(), {}};
         for (const auto &each : requests)
-            end.requests.push_back({each, sentAt});
-        return end;
+            crash.requests.push_back({each, sentAt});
+        return crash;
     }
-    /// A further server ends while these requests are at it.
-    std::vector<quarantine_entry> end(const std::vector<request_digest> &requests)
+    /// Crashes another server while these requests are in flight to it.
+    std::vector<quarantine_entry> crashServer(const std::vector<request_digest> &requests)
     {
-        quarantine.onServerEnd(makeEnd(requests, clock.now() - milliseconds{150}));
+        quarantine.onServerEnd(makeCrash(requests, clock.now() - milliseconds{150}));
         return quarantine.decide();
     }
     [[nodiscard]] quarantine_level levelOf(const request_digest &request) const
@@ -42,170 +43,175 @@
     void pass(std::chrono::nanoseconds time)
     {
         clock.advance(time);
-        quarantine.forgetOld();
+        quarantine.removeExpired();
     }
 
     manual_clock clock;
     request_quarantine quarantine{clock};
-    int ended = 0;
+    int crashedServers = 0;
 };
 
 constexpr milliseconds Apart{300};
 
 } // namespace
 
-TEST_CASE("request_quarantine: two ends make a request suspected, three keep it from servers")
+TEST_CASE("request_quarantine: two crashes make a request suspected, three quarantine it")
 {
     quarantine_world w;
-    CHECK(w.end({Crashing}).empty());
+    CHECK(w.crashServer({Crashing}).empty());
     CHECK(w.levelOf(Crashing) == quarantine_level::Free);
     w.pass(Apart);
-    CHECK(w.end({Crashing}).size() == 1);
+    CHECK(w.crashServer({Crashing}).size() == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Suspected);
     w.pass(Apart);
-    CHECK(w.end({Crashing}).size() == 1);
+    CHECK(w.crashServer({Crashing}).size() == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
     CHECK(w.quarantine.standingOf(Crashing).left > std::chrono::minutes{4});
-    CHECK_FALSE(w.quarantine.tryTrial(Crashing));
+    CHECK_FALSE(w.quarantine.tryStartTrial(Crashing));
 }
 
-TEST_CASE("request_quarantine: servers that end together count once")
+TEST_CASE("request_quarantine: servers that crash together count as one crash")
 {
     quarantine_world w;
     for (int i = 0; i < 5; ++i)
-        w.end({Crashing});
-    CHECK(w.quarantine.evidenceOf(Crashing).seen == 1);
+        w.crashServer({Crashing});
+    CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Free);
 }
 
-TEST_CASE("request_quarantine: servers that end together count each where it was sent on and ran")
+TEST_CASE("request_quarantine: crashes in quick succession count separately if the request ran on "
+          "each server")
 {
     quarantine_world w;
     for (int i = 0; i < 3; ++i) {
         const auto sentAt = w.clock.now() + milliseconds{1};
         w.pass(milliseconds{25});
-        w.quarantine.onServerEnd(w.makeEnd({Crashing}, sentAt));
+        w.quarantine.onServerEnd(w.makeCrash({Crashing}, sentAt));
     }
     CHECK(w.quarantine.decide().size() == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
 }
 
-TEST_CASE("request_quarantine: a server that had ended before it was sent there counts for nothing")
+TEST_CASE(
+    "request_quarantine: a server that crashed before the request was sent to it does not count")
 {
     quarantine_world w;
     for (int i = 0; i < 5; ++i) {
         const auto sentAt = w.clock.now() + milliseconds{1};
         w.pass(milliseconds{5});
-        w.quarantine.onServerEnd(w.makeEnd({Crashing}, sentAt));
+        w.quarantine.onServerEnd(w.makeCrash({Crashing}, sentAt));
     }
-    CHECK(w.quarantine.evidenceOf(Crashing).seen == 1);
+    CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 1);
 }
 
-TEST_CASE("request_quarantine: one end that several nodes report counts once")
+TEST_CASE("request_quarantine: a crash that several nodes report counts once")
 {
     quarantine_world w;
-    const server_end end{backend_server_id("s"), w.clock.now(), {{Crashing, w.clock.now()}}};
-    CHECK(w.quarantine.onServerEnd(end));
-    CHECK_FALSE(w.quarantine.onServerEnd(end));
-    auto late = end;
+    const server_end crash{backend_server_id("s"), w.clock.now(), {{Crashing, w.clock.now()}}};
+    CHECK(w.quarantine.onServerEnd(crash));
+    CHECK_FALSE(w.quarantine.onServerEnd(crash));
+    auto late = crash;
     late.at += milliseconds{200};
     CHECK_FALSE(w.quarantine.onServerEnd(late));
-    CHECK(w.quarantine.evidenceOf(Crashing).seen == 1);
-    SECTION("but a server that starts again under its id may end again")
+    CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 1);
+    SECTION("but a server that restarts under the same id may crash again")
     {
         late.at += milliseconds{1500};
         CHECK(w.quarantine.onServerEnd(late));
-        CHECK(w.quarantine.evidenceOf(Crashing).seen == 2);
+        CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 2);
     }
 }
 
-TEST_CASE("request_quarantine: a request that is served elsewhere isn't blamed for ends")
+TEST_CASE("request_quarantine: crashes are not attributed to a request that is served elsewhere")
 {
     quarantine_world w;
     CHECK_FALSE(w.quarantine.onServed(Crashing));
     for (int i = 0; i < 8; ++i) {
         w.pass(Apart);
-        w.end({Crashing});
+        w.crashServer({Crashing});
     }
     CHECK(w.levelOf(Crashing) == quarantine_level::Free);
-    SECTION("until it hasn't been for long")
+    SECTION("until it has not been served for a while")
     {
         w.pass(std::chrono::minutes{1});
         for (int i = 0; i < 3; ++i) {
             w.pass(Apart);
-            w.end({Crashing});
+            w.crashServer({Crashing});
         }
         CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
     }
 }
 
-TEST_CASE("request_quarantine: a suspected request that is served is free again")
+TEST_CASE("request_quarantine: a suspected request becomes free when it is served")
 {
     quarantine_world w;
-    w.end({Crashing});
+    w.crashServer({Crashing});
     w.pass(Apart);
-    w.end({Crashing});
-    REQUIRE(w.quarantine.tryTrial(Crashing));
+    w.crashServer({Crashing});
+    REQUIRE(w.quarantine.tryStartTrial(Crashing));
     const auto entry = w.quarantine.onServed(Crashing);
     REQUIRE(entry);
     CHECK(entry->level == quarantine_level::Free);
     CHECK(w.levelOf(Crashing) == quarantine_level::Free);
-    CHECK(w.quarantine.evidenceOf(Crashing).seen == 0);
+    CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 0);
 }
 
 TEST_CASE("request_quarantine: a suspected request is tried on one server at a time")
 {
     quarantine_world w;
-    w.end({Crashing});
+    w.crashServer({Crashing});
     w.pass(Apart);
-    w.end({Crashing});
-    CHECK(w.quarantine.tryTrial(Crashing));
-    CHECK_FALSE(w.quarantine.tryTrial(Crashing));
+    w.crashServer({Crashing});
+    CHECK(w.quarantine.tryStartTrial(Crashing));
+    CHECK_FALSE(w.quarantine.tryStartTrial(Crashing));
     w.quarantine.endTrial(Crashing);
-    CHECK(w.quarantine.tryTrial(Crashing));
-    SECTION("and again after a node that tried it was never heard of")
+    CHECK(w.quarantine.tryStartTrial(Crashing));
+    SECTION("and again after a trial whose end was never reported times out")
     {
         w.pass(std::chrono::seconds{31});
-        CHECK(w.quarantine.tryTrial(Crashing));
+        CHECK(w.quarantine.tryStartTrial(Crashing));
     }
 }
 
-TEST_CASE("request_quarantine: requests that were beside the one that ends servers stay free of it")
+TEST_CASE("request_quarantine: requests in flight beside the one that crashes servers are not "
+          "quarantined")
 {
     quarantine_world w;
-    // Each end takes ten requests of other callers along; two of them meet it again and again.
+    // Each crash also fails ten requests of other callers. Two of them repeatedly share a server
+    // with the crashing request.
     const auto unlucky = digestNumber(1);
     const auto unluckier = digestNumber(2);
-    w.end({unlucky, unluckier, Crashing, digestNumber(10)});
+    w.crashServer({unlucky, unluckier, Crashing, digestNumber(10)});
     w.pass(Apart);
-    w.end({Crashing, digestNumber(11)});
+    w.crashServer({Crashing, digestNumber(11)});
     w.pass(Apart);
-    w.end({unlucky, unluckier, Crashing, digestNumber(12)});
+    w.crashServer({unlucky, unluckier, Crashing, digestNumber(12)});
     REQUIRE(w.levelOf(Crashing) == quarantine_level::Quarantined);
     w.pass(Apart);
-    w.end({unluckier, Crashing});
+    w.crashServer({unluckier, Crashing});
     CHECK(w.levelOf(unlucky) == quarantine_level::Suspected);
     CHECK(w.levelOf(unluckier) == quarantine_level::Suspected);
     CHECK(w.levelOf(digestNumber(10)) == quarantine_level::Free);
 }
 
-TEST_CASE("request_quarantine: one that was blamed for another's ends is cleared when that shows")
+TEST_CASE(
+    "request_quarantine: a request quarantined for another one's crashes becomes suspected again")
 {
     quarantine_world w;
     const auto unlucky = digestNumber(1);
-    // A node's report of the request that did it comes late.
-    std::vector<server_end> ends;
+    // The report of a node that the crashing request was in flight as well arrives late.
+    std::vector<server_end> crashes;
     for (int i = 0; i < 3; ++i) {
-        ends.push_back({backend_server_id("s-" + std::to_string(i)),
-                        w.clock.now(),
-                        {{unlucky, w.clock.now()}}});
-        w.quarantine.onServerEnd(ends.back());
+        crashes.push_back({backend_server_id("s-" + std::to_string(i)),
+                           w.clock.now(),
+                           {{unlucky, w.clock.now()}}});
+        w.quarantine.onServerEnd(crashes.back());
         CHECK(w.quarantine.decide().size() == (i == 0 ? 0 : 1));
         w.pass(Apart);
     }
     REQUIRE(w.levelOf(unlucky) == quarantine_level::Quarantined);
-    w.end({Crashing});
-    for (auto each : ends) {
+    w.crashServer({Crashing});
+    for (auto each : crashes) {
         each.requests = {{Crashing, each.at}};
         w.quarantine.onServerEnd(each);
     }
@@ -214,31 +220,31 @@
     CHECK(w.levelOf(unlucky) == quarantine_level::Suspected);
 }
 
-TEST_CASE("request_quarantine: after a quarantine one more end is enough, and it lasts longer")
+TEST_CASE("request_quarantine: after a quarantine, one crash starts a longer one")
 {
     quarantine_world w;
     for (int i = 0; i < 3; ++i) {
-        w.end({Crashing});
+        w.crashServer({Crashing});
         w.pass(Apart);
     }
     const auto first = w.quarantine.standingOf(Crashing).left;
     w.pass(first);
     CHECK(w.levelOf(Crashing) == quarantine_level::Suspected);
-    CHECK(w.quarantine.tryTrial(Crashing));
-    CHECK_FALSE(w.quarantine.tryTrial(Crashing));
+    CHECK(w.quarantine.tryStartTrial(Crashing));
+    CHECK_FALSE(w.quarantine.tryStartTrial(Crashing));
     w.pass(Apart);
-    w.end({Crashing});
+    w.crashServer({Crashing});
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
     CHECK(w.quarantine.standingOf(Crashing).left > first + std::chrono::minutes{3});
 }
 
-TEST_CASE("request_quarantine: the later entry of two nodes is in force on both")
+TEST_CASE("request_quarantine: the later of two entries replaces the earlier one on every node")
 {
     quarantine_world one;
     quarantine_world other;
-    one.end({Crashing});
+    one.crashServer({Crashing});
     one.pass(Apart);
-    const auto suspected = one.end({Crashing});
+    const auto suspected = one.crashServer({Crashing});
     REQUIRE(suspected.size() == 1);
     const auto taken = other.quarantine.merge(suspected.front());
     REQUIRE(taken);
@@ -251,31 +257,32 @@
     CHECK_FALSE(one.quarantine.merge(suspected.front()));
 }
 
-TEST_CASE("request_quarantine: a node that served the request lately contradicts another's entry")
+TEST_CASE(
+    "request_quarantine: a node that served the request recently overrides another node's entry")
 {
     quarantine_world one;
     quarantine_world other;
     CHECK_FALSE(other.quarantine.onServed(Crashing));
-    one.end({Crashing});
+    one.crashServer({Crashing});
     one.pass(Apart);
-    const auto suspected = one.end({Crashing});
+    const auto suspected = one.crashServer({Crashing});
     const auto taken = other.quarantine.merge(suspected.front());
     REQUIRE(taken);
     CHECK(taken->level == quarantine_level::Free);
     CHECK(taken->version > suspected.front().version);
 }
 
-TEST_CASE("request_quarantine: what it keeps is bounded, and ends")
+TEST_CASE("request_quarantine: stored crashes and entries are bounded and expire")
 {
     quarantine_world w;
     for (std::size_t i = 0; i < 3000; ++i) {
         std::vector<request_digest> requests;
         for (std::size_t j = 0; j < 4; ++j)
             requests.push_back(digestNumber(4 * i + j));
-        w.end(requests);
+        w.crashServer(requests);
     }
-    CHECK(w.quarantine.ends().size() <= 1024);
+    CHECK(w.quarantine.crashes().size() <= 1024);
     w.pass(std::chrono::minutes{11});
-    CHECK(w.quarantine.ends().empty());
+    CHECK(w.quarantine.crashes().empty());
     CHECK(w.quarantine.entries().empty());
 }
--- a/tests/gateway/server_end_observer_test.cpp
+++ b/tests/gateway/server_end_observer_test.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-TEST_CASE("server_end_observer: one new connection is tried for all that broke off at a server")
+TEST_CASE(
+    "server_end_observer: one probe connection is opened for all broken connections of a server")
 {
     manual_clock clock;
     server_end_observer observer(clock);
@@ -27,7 +28,8 @@
     CHECK(observer.onBroken(server, {digestNumber(1), clock.now()}));
     clock.advance(milliseconds{3});
     CHECK_FALSE(observer.onBroken(server, {digestNumber(2), clock.now()}));
-    CHECK_FALSE(observer.onBroken(server, {digestNumber(2), clock.now()})); // another piece of it
+    CHECK_FALSE(observer.onBroken(
+        server, {digestNumber(2), clock.now()})); // another piece of the same request
     CHECK(observer.onBroken(backend_server_id("other"), {digestNumber(3), clock.now()}));
     const auto end = observer.onConnectOutcome(server);
     REQUIRE(end);
@@ -37,7 +39,7 @@
     CHECK(toText(end->requests[1].digest) == toText(digestNumber(2)));
 }
 
-TEST_CASE("server_end_observer: what breaks off later is tried anew")
+TEST_CASE("server_end_observer: a connection that breaks after a probe starts another probe")
 {
     manual_clock clock;
     server_end_observer observer(clock);
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -1,11 +1,10 @@
-// What was seen: on one deployment a few requests each ended 60 servers and more in a quarter of a
-// minute, and with each server up to 25 requests of other callers broke off.
-// How it came about: the server on which such a request began to run crashed. Its caller sent it
-// again, under a new id and to any node, which chose a server that was still there.
-// What caused it: nodes judged each attempt alone. A failure counted against the server and the
-// budget of second tries of its service; nothing was kept about the request, on no node.
-// What proved it: repeats told apart by a digest of caller, target and body, and ends of servers
-// told from ends of connections by a new connection that is refused, in the logs of these tests.
+// Guards against requests that crash every server on which they run. On one deployment a few such
+// requests each crashed 60 or more servers within 15 seconds, and each crash failed up to 25
+// requests of other callers. The caller repeated the request under a new id through any node, and
+// the node chose another running server: failures were recorded per server and in the retry budget
+// of the service, but no node recorded anything about the request. The logs of these tests
+// recognize repeats by a digest of customer, target and body, and distinguish a crashed server from
+// a broken connection by a new connection that is refused.
 #include "platform_world.h"
 #include "wire/json_text.h"
 
@@ -23,18 +22,18 @@
 
 constexpr std::size_t Servers = 10;
 constexpr std::string_view CrashingBody = "crash";
-/// What a server does before it crashes.
+/// How long the crashing request runs on a server before the server crashes.
 constexpr milliseconds CrashDelay{20};
-/// When a crashed server is back, under a new id; its entry is gone by then.
+/// Time after which a crashed server is replaced under a new id; its old entry is removed then.
 constexpr milliseconds Downtime{1000};
-/// After so long, all nodes must know what ended under a request.
+/// Time within which all nodes must have the quarantine of a request.
 constexpr milliseconds SettleTime{3000};
-/// Ends under one request until that time begins.
-constexpr std::size_t KnownAfterEnds = 3;
-/// How often it may still be sent to servers after that, by all nodes together.
-constexpr std::size_t TriesAfterwards = 3;
+/// Crashes during one request before `SettleTime` starts.
+constexpr std::size_t CrashesToQuarantine = 3;
+/// How often all nodes together may still send the request to servers after `SettleTime`.
+constexpr std::size_t MaxLaterArrivals = 3;
 
-/// Four nodes before ten servers, which crash when they begin to run one body.
+/// Four nodes in front of ten servers, which crash when they run a request with `CrashingBody`.
 struct crashing_world : world
 {
     explicit crashing_world(const std::string &route, std::string serviceName,
@@ -46,12 +45,12 @@
             start();
         for (const auto *name : {"g1", "g2", "g3", "g4"})
             startGateway(name);
-        runFor(milliseconds{1200}); // they find each other
+        runFor(milliseconds{1200}); // the nodes discover each other
     }
 
     void start()
     {
-        const auto id = "s-" + std::to_string(++starts);
+        const auto id = "s-" + std::to_string(++startedServers);
         auto &started = addServer(service, id);
         started.behave([this, id](const server_request &request,
                                   const std::shared_ptr<server_answer> &answer) {
@@ -63,14 +62,15 @@
                    const std::shared_ptr<server_answer> &answer)
     {
         if (request.body.find(CrashingBody) == std::string::npos) {
-            answerWhole(request, answer);
+            answerCompletely(request, answer);
             return;
         }
-        arrivals.push_back(clock.now());
+        crashingArrivals.push_back(clock.now());
         loop.callAfter(CrashDelay, [this, id] { crash(id); });
     }
 
-    void answerWhole(const server_request &request, const std::shared_ptr<server_answer> &answer)
+    void answerCompletely(const server_request &request,
+                          const std::shared_ptr<server_answer> &answer)
     {
         if (service == "web")
             answer->write(signedAnswer(request, "done"));
@@ -80,7 +80,7 @@
             answer->write(streamHead(request) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n");
     }
 
-    /// Gives a handle for each piece, and nothing for results that are given up.
+    /// Answers with a handle for each piece, and with none for results that are freed.
     static void answerPieces(const server_request &request,
                              const std::shared_ptr<server_answer> &answer)
     {
@@ -99,14 +99,14 @@
         if (!server(id).listens())
             return;
         server(id).crash();
-        ends.push_back(clock.now());
+        crashTimes.push_back(clock.now());
         loop.callAfter(Downtime, [this, id] {
             store.remove("servers/" + id);
             start();
         });
     }
 
-    /// Sends a request to one node after the other.
+    /// Sends a request to the nodes in round-robin order.
     std::shared_ptr<client_answer> send(const std::string &body)
     {
         const auto gateway = "g" + std::to_string(1 + sent % 4);
@@ -120,22 +120,22 @@
         return request(gateway, std::move(head), body);
     }
 
-    /// Lets one caller repeat the request, and others send theirs.
+    /// Has one caller repeat the crashing request while other callers send theirs.
     void run(milliseconds time)
     {
         const auto end = clock.now() + time;
         while (clock.now() < end) {
-            crashing.push_back(send(std::string(CrashingBody)));
-            others.push_back(send("body " + std::to_string(sent)));
+            crashingAnswers.push_back(send(std::string(CrashingBody)));
+            otherAnswers.push_back(send("body " + std::to_string(sent)));
             runFor(milliseconds{80});
         }
-        runFor(milliseconds{2200}); // until the last ones have their answers
+        runFor(milliseconds{2200}); // until the last requests are answered
     }
 
     [[nodiscard]] std::size_t arrivalsAfter(steady_time since) const
     {
-        return static_cast<std::size_t>(
-            std::ranges::count_if(arrivals, [&](steady_time each) { return each > since; }));
+        return static_cast<std::size_t>(std::ranges::count_if(
+            crashingArrivals, [&](steady_time each) { return each > since; }));
     }
     [[nodiscard]] static std::size_t served(const std::vector<std::shared_ptr<client_answer>> &list)
     {
@@ -145,52 +145,53 @@
     }
 
     std::string service;
-    int starts = 0;
+    int startedServers = 0;
     std::size_t sent = 0;
-    std::vector<steady_time> arrivals; ///< of the crashing request at servers
-    std::vector<steady_time> ends; ///< of servers
-    std::vector<std::shared_ptr<client_answer>> crashing;
-    std::vector<std::shared_ptr<client_answer>> others;
+    std::vector<steady_time> crashingArrivals; ///< of the crashing request at servers
+    std::vector<steady_time> crashTimes; ///< of servers
+    std::vector<std::shared_ptr<client_answer>> crashingAnswers;
+    std::vector<std::shared_ptr<client_answer>> otherAnswers;
 };
 
-void checkThatItEndsFewServers(crashing_world &w)
+void checkThatFewServersCrash(crashing_world &w)
 {
     w.run(milliseconds{6000});
-    REQUIRE(w.ends.size() >= KnownAfterEnds);
-    const auto known = w.ends[KnownAfterEnds - 1] + SettleTime;
-    INFO("sent " << w.crashing.size() << " times, servers ended: " << w.ends.size()
-                 << ", others served: " << w.served(w.others) << " of " << w.others.size());
-    CHECK(w.arrivalsAfter(known) <= TriesAfterwards);
-    // Most of its repeats are told at once, and when to come back: not within their own time.
-    const auto &last = *w.crashing.back();
+    REQUIRE(w.crashTimes.size() >= CrashesToQuarantine);
+    const auto quarantinedBy = w.crashTimes[CrashesToQuarantine - 1] + SettleTime;
+    INFO("sent " << w.crashingAnswers.size() << " times, servers crashed: " << w.crashTimes.size()
+                 << ", others served: " << w.served(w.otherAnswers) << " of "
+                 << w.otherAnswers.size());
+    CHECK(w.arrivalsAfter(quarantinedBy) <= MaxLaterArrivals);
+    // Repeats are refused at once, with a retry time beyond their own timeout.
+    const auto &last = *w.crashingAnswers.back();
     CHECK(last.status == 503);
     CHECK(std::stod(last.field("retry-after")) > 60.0);
-    CHECK(w.served(w.others) * 10 >= w.others.size() * 9);
-    for (const auto &each : w.crashing)
+    CHECK(w.served(w.otherAnswers) * 10 >= w.otherAnswers.size() * 9);
+    for (const auto &each : w.crashingAnswers)
         CHECK(each->ended);
 }
 
 } // namespace
 
-TEST_CASE("a safe request under which servers end is soon sent to none")
+TEST_CASE("a safe request that crashes servers is soon quarantined")
 {
     crashing_world w(plainRoute("safe"), "web");
-    checkThatItEndsFewServers(w);
+    checkThatFewServersCrash(w);
 }
 
-TEST_CASE("an unsafe request under which servers end is soon sent to none")
+TEST_CASE("an unsafe request that crashes servers is soon quarantined")
 {
     crashing_world w(plainRoute("unsafe"), "web");
-    checkThatItEndsFewServers(w);
+    checkThatFewServersCrash(w);
 }
 
-TEST_CASE("a stream under which servers end is soon sent to none")
+TEST_CASE("a stream that crashes servers is soon quarantined")
 {
     crashing_world w(streamRoute(true), "engine");
-    checkThatItEndsFewServers(w);
+    checkThatFewServersCrash(w);
 }
 
-TEST_CASE("a request under whose pieces stage servers end is soon sent to none")
+TEST_CASE("a request whose pieces crash stage servers is soon quarantined")
 {
     const std::string stages = R"([{"service":"p","after":[],"length":100}])";
     const std::string services =
@@ -201,16 +202,16 @@
     auto &engine = w.addServer("engine", "e-1");
     engine.behave(answerOneEvent);
     w.runFor(milliseconds{300});
-    checkThatItEndsFewServers(w);
-    CHECK(w.ends.size() <= 2 * KnownAfterEnds);
+    checkThatFewServersCrash(w);
+    CHECK(w.crashTimes.size() <= 2 * CrashesToQuarantine);
 }
 
-TEST_CASE("a node that starts later is told under which requests servers end")
+TEST_CASE("a node that starts later receives the quarantined requests")
 {
     crashing_world w(plainRoute("safe"), "web");
     w.run(milliseconds{1500});
-    REQUIRE(w.ends.size() >= KnownAfterEnds);
-    const auto before = w.arrivals.size();
+    REQUIRE(w.crashTimes.size() >= CrashesToQuarantine);
+    const auto before = w.crashingArrivals.size();
     w.startGateway("g5");
     w.runFor(milliseconds{1200});
     const auto answer =
@@ -218,12 +219,12 @@
     REQUIRE(w.await(answer));
     CHECK(answer->status == 503);
     CHECK(std::stod(answer->field("retry-after")) > 60.0);
-    CHECK(w.arrivals.size() == before);
+    CHECK(w.crashingArrivals.size() == before);
 }
 
-// The other way round: what happens to be at servers that end for reasons of their own.
+// The opposite case: requests in flight to servers that crash for unrelated reasons.
 
-TEST_CASE("a request that many send is served while eight of ten servers end")
+TEST_CASE("a request from many callers is served while eight of ten servers crash")
 {
     crashing_world w(plainRoute("safe"), "web");
     std::vector<std::shared_ptr<client_answer>> answers;
@@ -246,29 +247,29 @@
     CHECK(w.served(answers) == answers.size());
 }
 
-TEST_CASE("a request that few send is served after five servers ended together under it")
+TEST_CASE("a rare request is served after five servers crashed together during it")
 {
     crashing_world w(plainRoute("safe"), "web");
-    std::vector<std::string> holders;
+    std::vector<std::string> holderIds;
     for (std::size_t i = 1; i <= Servers; ++i) {
         const auto id = "s-" + std::to_string(i);
-        w.server(id).behave([&holders, id](const server_request &, const auto &) {
-            holders.push_back(id); // and answers nothing
+        w.server(id).behave([&holderIds, id](const server_request &, const auto &) {
+            holderIds.push_back(id); // never answers
         });
     }
     std::vector<std::shared_ptr<client_answer>> first;
     for (int i = 0; i < 5; ++i)
         first.push_back(w.send("rare"));
-    REQUIRE(w.runUntil([&] { return holders.size() == 5; }));
-    const auto hit = holders;
+    REQUIRE(w.runUntil([&] { return holderIds.size() == 5; }));
+    const auto crashedIds = holderIds;
     for (std::size_t i = 1; i <= Servers; ++i) {
         const auto id = "s-" + std::to_string(i);
         w.server(id).behave(
             [&w](const server_request &request, const std::shared_ptr<server_answer> &answer) {
-                w.answerWhole(request, answer);
+                w.answerCompletely(request, answer);
             });
     }
-    for (const auto &id : hit)
+    for (const auto &id : crashedIds)
         w.crash(id);
     w.runFor(milliseconds{1500});
     std::vector<std::shared_ptr<client_answer>> answers;
