--- a/src/gateway/stages/decaying_rate.h
+++ b/src/gateway/stages/decaying_rate.h
@@ -7,30 +7,34 @@
 
 namespace orchidlead::gateway {
 
-/// How often something happens, by an average in which the past fades.
+/// Estimates the rate of events by a count that decays exponentially.
 class decaying_rate
 {
 public:
     void onEvent(steady_time now)
     {
         m_count = countAt(now) + 1.0;
-        m_at = now;
+        m_updatedAt = now;
+    }
+    /// Returns the rate in events per second.
+    [[nodiscard]] double perSecond(steady_time now) const
+    {
+        return countAt(now) / TimeConstant.count();
     }
-    /// Events a second.
-    [[nodiscard]] double perSecond(steady_time now) const { return countAt(now) / Memory.count(); }
 
 private:
-    /// What happened so long ago counts for a third: bursts begin and end within seconds.
-    static constexpr std::chrono::duration<double> Memory{1.0};
+    /// Age at which an event counts for about a third. Short, because bursts start and end within
+    /// seconds.
+    static constexpr std::chrono::duration<double> TimeConstant{1.0};
 
     [[nodiscard]] double countAt(steady_time now) const
     {
-        const std::chrono::duration<double> passed = now - m_at;
-        return m_count * std::exp(-passed / Memory);
+        const std::chrono::duration<double> elapsed = now - m_updatedAt;
+        return m_count * std::exp(-elapsed / TimeConstant);
     }
 
     double m_count = 0;
-    steady_time m_at{};
+    steady_time m_updatedAt{};
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/stages/stage_host.h
+++ b/src/gateway/stages/stage_host.h
@@ -18,8 +18,8 @@
 
 namespace orchidlead::gateway {
 
-/// Does pieces of stages: forms calls, makes them, tells each submitter the outcome, and frees
-/// results that nobody needs.
+/// Runs the pieces of stages: batches them into calls to backend servers, reports each outcome to
+/// its submitter, and frees results that are no longer needed.
 template <gateway_codec Codec>
 class stage_host
 {
@@ -30,92 +30,97 @@
                retry_allowance &allowance, wire::log &log, gateway_metrics &metrics);
 
     void setConfiguration(const configuration_ptr &configuration);
-    /// Whether pieces wait for a server beside their inputs; pools made later keep to it.
-    void setWaitsForNear(bool waits) { m_waitsForNear = waits; }
+    /// Sets whether pieces wait for a server in the data centre of their inputs. Affects only pools
+    /// that are created later.
+    void setWaitsForNear(bool waits) { m_waitsForLocalServer = waits; }
 
-    /// `onBroken`: a connection broke off while a piece of the request was at the server;
-    /// `mayRepeat`: whether such a piece may be tried on another one.
+    /// Sets the callbacks of the request quarantine. `onBroken` is called when a connection broke
+    /// while a server had a piece of the request; `mayRetry` returns whether such a piece may be
+    /// tried on another server.
     void setQuarantine(std::function<void(const server &, const interrupted_request &)> onBroken,
-                       std::function<bool(const request_digest &)> mayRepeat)
+                       std::function<bool(const request_digest &)> mayRetry)
     {
         m_onBroken = std::move(onBroken);
-        m_mayRepeat = std::move(mayRepeat);
+        m_mayRetry = std::move(mayRetry);
     }
 
-    /// Gives the part of what bounded servers of a pool bear that this node may use.
+    /// Sets the function that returns this node's share of the rate limits of a pool's servers.
     void setRateShare(std::function<double(const pool_key &)> share)
     {
         m_rateShare = std::move(share);
     }
 
-    /// `handler` is called once, later, unless the piece is withdrawn.
+    /// Submits a piece. `handler` is called once, never within this call, unless the piece is
+    /// withdrawn.
     piece_token submit(const pool_key &key, piece_job job, piece_handler handler);
     void withdraw(piece_token token);
-    /// Gives results up at the servers that hold them, soon and together.
+    /// Frees results at the servers that hold them, batched by server after a short delay.
     void free(const std::vector<std::string> &handles);
-    /// Pieces that wait now, by service.
+    /// Returns the number of waiting pieces by service.
     [[nodiscard]] std::map<service_id, std::size_t> waiting() const;
-    /// Logs what each pool did since the last call.
+    /// Logs the activity of each pool since the last call.
     void logSummaries();
-    /// Servers of a service came, changed or left.
+    /// Handles added, changed or removed servers of a service.
     void onServersChanged(const service_id &service);
-    /// No answer comes from there any more, and results that lie there can't be fetched.
+    /// Ends the calls to an unreachable data centre, and fails waiting pieces whose inputs are
+    /// stored there and can't be fetched.
     void onDataCenterLost(const data_center_id &dataCenter);
 
 private:
-    struct pending
+    struct pending_piece
     {
         pool_key key;
         stage_rank rank;
         piece_handler handler;
-        std::string attempt; ///< of the request
+        std::string attempt; ///< ID of the request's attempt
         std::uint32_t stage = 0;
-        steady_time since;
+        steady_time submittedAt;
     };
-    struct call_answer
+    struct active_call
     {
         pool_key key;
-        stage_call made;
+        stage_call stageCall;
         int status = 0;
         answer_marks marks;
         std::string body;
         http::pool_call call = 0;
         http::timer_id timer = 0;
-        steady_time began;
-        bool withheld = false; ///< the server was not to have it any more
+        steady_time startedAt;
+        bool withheld = false; ///< the server stopped accepting calls before this was sent
     };
 
     stage_pool &poolOf(const pool_key &key);
-    void pump(const pool_key &key);
-    void schedulePump(const pool_key &key);
-    [[nodiscard]] double shareOf(const pool_key &key) const;
-    /// The same of the pool that a server is in; none where this node has no such pool.
-    [[nodiscard]] double shareOf(const server &which) const;
-    /// Why no server of a pool gets what waits there, as far as that is known; `servers`: those
-    /// that may get new work.
+    void dispatch(const pool_key &key);
+    void scheduleDispatch(const pool_key &key);
+    [[nodiscard]] double rateShareOf(const pool_key &key) const;
+    /// Returns the rate share for the pool that contains a server; 0 if this node has no such pool.
+    [[nodiscard]] double rateShareOf(const server &poolServer) const;
+    /// Returns why no server of a pool can take its waiting pieces, or nothing if one can or the
+    /// reason isn't known. `servers` are the usable servers of the pool.
     [[nodiscard]] std::optional<piece_failure>
-    whyClosed(const pool_key &key, const std::vector<server_ptr> &servers) const;
-    /// Leaves out bounded servers that get no call yet; gives when the next of them may.
-    std::optional<steady_time> leaveOutPaced(const pool_key &key,
-                                             std::vector<server_ptr> &servers) const;
-    /// How many servers a pool is worth: bounded ones count as the part of their time for which
-    /// they may get calls.
-    [[nodiscard]] double strengthOf(const pool_key &key);
-    void make(const pool_key &key, const stage_call &call);
-    void onCallEnd(const std::shared_ptr<call_answer> &answer, http::call_end how);
+    closedReason(const pool_key &key, const std::vector<server_ptr> &servers) const;
+    /// Removes servers that may not get a call yet, because of a rate limit or a backoff. Returns
+    /// when the first of them may.
+    std::optional<steady_time> removePacedServers(const pool_key &key,
+                                                  std::vector<server_ptr> &servers) const;
+    /// Returns the capacity of a pool in servers. A rate-limited server counts as the fraction of
+    /// its time for which this node may send it calls.
+    [[nodiscard]] double effectiveServerCount(const pool_key &key);
+    void startCall(const pool_key &key, const stage_call &call);
+    void onCallEnd(const std::shared_ptr<active_call> &active, http::call_end httpEnd);
     void logFailedPieces(const pool_key &key, const stage_call &call,
                          const std::vector<piece_result> &results);
     void deliver(const std::vector<piece_outcome> &outcomes);
-    /// What the submitter of a piece is told to expect of the next one of its rank.
-    [[nodiscard]] milliseconds waitAfter(const pool_key &key, const stage_rank &rank,
-                                         const piece_result &result);
-    void logGivenUp(const std::vector<piece_outcome> &outcomes);
+    /// Returns the expected wait of a new piece of the same rank, to be reported with `result`.
+    [[nodiscard]] milliseconds expectedWaitAfter(const pool_key &key, const stage_rank &rank,
+                                                 const piece_result &result);
+    void logGivenUpPieces(const std::vector<piece_outcome> &outcomes);
     void scheduleFrees(steady_time at);
     void flushFrees();
     void sendFrees(const server_ptr &holder, std::vector<std::string> handles);
-    /// When a server may be told of results that are given up. Frees are requests, too: they count
-    /// against its bound. Empty: never by this node, what lies there lapses.
-    [[nodiscard]] std::optional<steady_time> mayBeFreedAt(const server &holder) const;
+    /// Returns when a server may be asked to free results. Such a request counts against the
+    /// server's rate limit. Empty if this node may never send one; the results then expire.
+    [[nodiscard]] std::optional<steady_time> earliestFreeAt(const server &holder) const;
     void onFreed(const std::vector<std::string> &handles);
 
     http::io_loop &m_loop;
@@ -125,20 +130,20 @@
     wire::log &m_log;
     gateway_metrics &m_metrics;
     configuration_ptr m_configuration;
-    bool m_waitsForNear = true;
+    bool m_waitsForLocalServer = true;
     std::function<void(const server &, const interrupted_request &)> m_onBroken;
-    std::function<bool(const request_digest &)> m_mayRepeat;
+    std::function<bool(const request_digest &)> m_mayRetry;
     std::function<double(const pool_key &)> m_rateShare;
     rate_pace m_pace;
     std::map<pool_key, std::unique_ptr<stage_pool>> m_pools;
-    std::set<std::shared_ptr<call_answer>> m_open; ///< calls
-    std::map<pool_key, http::timer_id> m_wakeups;
-    std::map<pool_key, bool> m_scheduled;
-    std::unordered_map<piece_token, pending> m_pending;
+    std::set<std::shared_ptr<active_call>> m_activeCalls;
+    std::map<pool_key, http::timer_id> m_wakeupTimers;
+    std::map<pool_key, bool> m_dispatchScheduled;
+    std::unordered_map<piece_token, pending_piece> m_pending;
     piece_token m_lastToken = 0;
-    std::map<std::string, std::vector<std::string>> m_frees; ///< by the address of the server
+    std::map<std::string, std::vector<std::string>> m_pendingFrees; ///< by server address
     http::timer_id m_freeTimer = 0;
-    steady_time m_freesAt{}; ///< when it fires
+    steady_time m_freeTimerAt{}; ///< when `m_freeTimer` fires
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/stages/stage_host_impl.h
+++ b/src/gateway/stages/stage_host_impl.h
@@ -11,8 +11,8 @@
 
 namespace orchidlead::gateway {
 
-/// A host that may let nothing go to bounded servers yet looks again after this.
-inline constexpr milliseconds NoShareRetry{200};
+/// How often a node checks for a rate share while its share of a pool's limits is 0.
+inline constexpr milliseconds NoShareRetryInterval{200};
 
 template <gateway_codec Codec>
 stage_host<Codec>::stage_host(http::io_loop &loop, http::connection_pool &pool,
@@ -44,8 +44,8 @@
     auto &entry = m_pools[key];
     if (!entry) {
         entry = std::make_unique<stage_pool>(m_loop.clock(), key.service, m_allowance);
-        entry->setWaitsForNear(m_waitsForNear);
-        entry->setMayRepeat(m_mayRepeat);
+        entry->setWaitsForNear(m_waitsForLocalServer);
+        entry->setMayRetry(m_mayRetry);
         const auto *spec = m_configuration ? m_configuration->findService(key.service) : nullptr;
         if (spec && spec->stage)
             entry->setCapacity(*spec->stage);
@@ -60,10 +60,10 @@
     const auto token = job.token;
     m_allowance.onRequest(key.service);
     m_pending.emplace(token,
-                      pending{key, job.rank, std::move(handler), job.request.attempt,
-                              job.request.stage, m_loop.now()});
+                      pending_piece{key, job.rank, std::move(handler), job.request.attempt,
+                                    job.request.stage, m_loop.now()});
     poolOf(key).submit(std::move(job));
-    schedulePump(key);
+    scheduleDispatch(key);
     return token;
 }
 
@@ -77,15 +77,15 @@
     m_pending.erase(found);
 }
 
-// Posted, so that all pieces of a request are there before a call is formed.
+// Posted, so that all pieces of a request are submitted before a call is formed.
 template <gateway_codec Codec>
-void stage_host<Codec>::schedulePump(const pool_key &key)
+void stage_host<Codec>::scheduleDispatch(const pool_key &key)
 {
-    if (std::exchange(m_scheduled[key], true))
+    if (std::exchange(m_dispatchScheduled[key], true))
         return;
     m_loop.post([this, key] {
-        m_scheduled[key] = false;
-        pump(key);
+        m_dispatchScheduled[key] = false;
+        dispatch(key);
     });
 }
 
@@ -94,36 +94,36 @@
 {
     for (const auto &[key, pool] : m_pools) {
         if (key.service == service)
-            schedulePump(key);
+            scheduleDispatch(key);
     }
 }
 
 template <gateway_codec Codec>
-double stage_host<Codec>::shareOf(const pool_key &key) const
+double stage_host<Codec>::rateShareOf(const pool_key &key) const
 {
     return m_rateShare ? m_rateShare(key) : 0.0;
 }
 
 template <gateway_codec Codec>
-double stage_host<Codec>::shareOf(const server &which) const
+double stage_host<Codec>::rateShareOf(const server &poolServer) const
 {
-    const auto found =
-        std::ranges::find_if(m_pools, [&](const auto &entry) { return which.isIn(entry.first); });
-    return found == m_pools.end() ? 0.0 : shareOf(found->first);
+    const auto found = std::ranges::find_if(
+        m_pools, [&](const auto &entry) { return poolServer.isIn(entry.first); });
+    return found == m_pools.end() ? 0.0 : rateShareOf(found->first);
 }
 
 template <gateway_codec Codec>
-std::optional<steady_time> stage_host<Codec>::leaveOutPaced(const pool_key &key,
-                                                            std::vector<server_ptr> &servers) const
+std::optional<steady_time>
+stage_host<Codec>::removePacedServers(const pool_key &key, std::vector<server_ptr> &servers) const
 {
     std::optional<steady_time> next;
-    const double share = shareOf(key);
+    const double share = rateShareOf(key);
     std::erase_if(servers, [&](const server_ptr &each) {
         auto at = each->takesFrom();
         if (at <= m_loop.now() && m_pace.allows(*each, share))
             return false;
         if (at <= m_loop.now())
-            at = share > 0 ? m_pace.nextAt(*each, share) : m_loop.now() + NoShareRetry;
+            at = share > 0 ? m_pace.nextAt(*each, share) : m_loop.now() + NoShareRetryInterval;
         next = std::min(next.value_or(at), at);
         return true;
     });
@@ -132,7 +132,7 @@
 
 template <gateway_codec Codec>
 std::optional<piece_failure>
-stage_host<Codec>::whyClosed(const pool_key &key, const std::vector<server_ptr> &servers) const
+stage_host<Codec>::closedReason(const pool_key &key, const std::vector<server_ptr> &servers) const
 {
     if (m_directory.backoffOf(servers))
         return piece_failure::ServersBackedOff;
@@ -152,60 +152,61 @@
 }
 
 template <gateway_codec Codec>
-double stage_host<Codec>::strengthOf(const pool_key &key)
+double stage_host<Codec>::effectiveServerCount(const pool_key &key)
 {
-    const std::chrono::duration<double> call = poolOf(key).fullCall();
-    double strength = 0.0;
+    const std::chrono::duration<double> call = poolOf(key).fullCallTime();
+    double serverCount = 0.0;
     for (const auto &each : m_directory.usable(key)) {
         if (!each->takes(m_loop.now()))
             continue;
         const auto bound = each->bound(m_loop.now());
-        strength += bound ? std::min(1.0, bound->perSecond * shareOf(key) * call.count()) : 1.0;
+        serverCount +=
+            bound ? std::min(1.0, bound->perSecond * rateShareOf(key) * call.count()) : 1.0;
     }
-    return strength;
+    return serverCount;
 }
 
 template <gateway_codec Codec>
-void stage_host<Codec>::pump(const pool_key &key)
+void stage_host<Codec>::dispatch(const pool_key &key)
 {
     auto &pool = poolOf(key);
     auto servers = m_directory.usable(key);
-    if (const auto why = whyClosed(key, servers))
-        deliver(pool.giveUpAll(*why));
-    deliver(pool.expire(strengthOf(key)));
-    auto wake = leaveOutPaced(key, servers);
-    while (const auto call = pool.next(servers)) {
-        m_pace.onSent(*call->server, shareOf(key));
-        make(key, *call);
+    if (const auto reason = closedReason(key, servers))
+        deliver(pool.failAll(*reason));
+    deliver(pool.expire(effectiveServerCount(key)));
+    auto wake = removePacedServers(key, servers);
+    while (const auto call = pool.nextCall(servers)) {
+        m_pace.onSent(*call->server, rateShareOf(key));
+        startCall(key, *call);
     }
     if (pool.waiting() > 0)
-        deliver(pool.giveUpUnreached(m_directory.usable(key)));
-    m_loop.cancelTimer(std::exchange(m_wakeups[key], 0));
+        deliver(pool.failUnreached(m_directory.usable(key)));
+    m_loop.cancelTimer(std::exchange(m_wakeupTimers[key], 0));
     if (pool.waiting() == 0)
         return;
     if (const auto next = pool.wakeAt())
         wake = std::min(wake.value_or(*next), *next);
     if (wake) {
         const auto delay = std::chrono::ceil<std::chrono::microseconds>(*wake - m_loop.now());
-        m_wakeups[key] = m_loop.callAfter(delay, [this, key] { pump(key); });
+        m_wakeupTimers[key] = m_loop.callAfter(delay, [this, key] { dispatch(key); });
     }
 }
 
 template <gateway_codec Codec>
-void stage_host<Codec>::make(const pool_key &key, const stage_call &call)
+void stage_host<Codec>::startCall(const pool_key &key, const stage_call &call)
 {
-    const auto answer = std::make_shared<call_answer>();
-    answer->key = key;
-    answer->made = call;
-    answer->began = m_loop.now();
-    m_open.insert(answer);
-    http::outbound_call made;
-    made.body = Codec::writePieces(call.pieces);
-    made.writeHead = [this, call, answer,
-                      length = made.body.size()]() -> std::optional<std::string> {
-        // The server may have begun to leave while the connection was opened, or asked for time.
-        answer->withheld = !call.server->takes(m_loop.now());
-        if (answer->withheld)
+    const auto active = std::make_shared<active_call>();
+    active->key = key;
+    active->stageCall = call;
+    active->startedAt = m_loop.now();
+    m_activeCalls.insert(active);
+    http::outbound_call outbound;
+    outbound.body = Codec::writePieces(call.pieces);
+    outbound.writeHead = [this, call, active,
+                          length = outbound.body.size()]() -> std::optional<std::string> {
+        // The server may have started to leave or asked for a backoff while the connection opened.
+        active->withheld = !call.server->takes(m_loop.now());
+        if (active->withheld)
             return std::nullopt;
         m_directory.onSending(*call.server);
         http::request_head head;
@@ -216,74 +217,74 @@
         head.fields.push_back({"Content-Length", std::to_string(length)});
         return http::formatHead(head);
     };
-    made.onHead = [this, answer](const http::response_head &head) {
-        answer->status = head.status;
-        answer->marks = Codec::readAnswer(head);
-        m_directory.onAnswerBegun(*answer->made.server);
-        m_directory.onSignals(*answer->made.server, answer->marks.server);
+    outbound.onHead = [this, active](const http::response_head &head) {
+        active->status = head.status;
+        active->marks = Codec::readAnswer(head);
+        m_directory.onAnswerBegun(*active->stageCall.server);
+        m_directory.onSignals(*active->stageCall.server, active->marks.server);
     };
-    made.onBody = [answer](std::string_view bytes) { answer->body.append(bytes); };
-    made.onEnd = [this, answer](http::call_end how) { onCallEnd(answer, how); };
-    answer->call = m_pool.start(call.server->record.address, std::move(made));
-    answer->timer = m_loop.callAfter(call.timeout, [this, answer] {
-        answer->timer = 0;
-        m_pool.abandon(answer->call);
-        onCallEnd(answer, http::call_end::TimedOut);
+    outbound.onBody = [active](std::string_view bytes) { active->body.append(bytes); };
+    outbound.onEnd = [this, active](http::call_end httpEnd) { onCallEnd(active, httpEnd); };
+    active->call = m_pool.start(call.server->record.address, std::move(outbound));
+    active->timer = m_loop.callAfter(call.timeout, [this, active] {
+        active->timer = 0;
+        m_pool.abandon(active->call);
+        onCallEnd(active, http::call_end::TimedOut);
     });
 }
 
 template <gateway_codec Codec>
 void stage_host<Codec>::onDataCenterLost(const data_center_id &dataCenter)
 {
-    const auto open = m_open;
+    const auto open = m_activeCalls;
     for (const auto &each : open) {
-        if (each->made.server->record.dataCenter != dataCenter)
+        if (each->stageCall.server->record.dataCenter != dataCenter)
             continue;
         m_pool.abandon(each->call);
         onCallEnd(each, http::call_end::TimedOut);
     }
     for (auto &[key, pool] : m_pools) {
-        deliver(pool->dropInputsIn(dataCenter));
-        schedulePump(key);
+        deliver(pool->failWithInputsIn(dataCenter));
+        scheduleDispatch(key);
     }
 }
 
 template <gateway_codec Codec>
-void stage_host<Codec>::onCallEnd(const std::shared_ptr<call_answer> &ended, http::call_end how)
+void stage_host<Codec>::onCallEnd(const std::shared_ptr<active_call> &ended, http::call_end httpEnd)
 {
     m_loop.cancelTimer(ended->timer);
-    m_open.erase(ended);
+    m_activeCalls.erase(ended);
     const auto &key = ended->key;
-    const auto &call = ended->made;
-    const auto &answer = *ended;
+    const auto &call = ended->stageCall;
+    const auto &active = *ended;
     constexpr int Ok = 200;
     constexpr int Misdirected = 421;
     auto end = stage_call_end::Broken;
     std::vector<piece_result> results;
-    if (how == http::call_end::NotSent && answer.withheld) {
+    if (httpEnd == http::call_end::NotSent && active.withheld) {
         end = stage_call_end::Withheld;
-    } else if (how == http::call_end::NotSent) {
+    } else if (httpEnd == http::call_end::NotSent) {
         end = stage_call_end::NotSent;
         m_directory.onFailure(*call.server);
-    } else if (how == http::call_end::Complete && answer.status == Ok) {
-        auto read = Codec::readPieces(answer.body);
+    } else if (httpEnd == http::call_end::Complete && active.status == Ok) {
+        auto read = Codec::readPieces(active.body);
         if (read && read.value().size() == call.pieces.size()) {
             end = stage_call_end::Answered;
             results = std::move(read).value();
         }
-    } else if (how == http::call_end::Complete
-               && (answer.marks.notRun || answer.status == Misdirected)) {
+    } else if (httpEnd == http::call_end::Complete
+               && (active.marks.notRun || active.status == Misdirected)) {
         end = stage_call_end::NotRun;
-        if (answer.status == Misdirected)
+        if (active.status == Misdirected)
             call.server->gone = true;
     }
     if (end == stage_call_end::Answered)
         m_directory.onAnswer(*call.server);
     else if (end == stage_call_end::Broken)
         m_directory.onFailure(*call.server);
-    if (how == http::call_end::Broken && call.server->usable() && m_onBroken) {
+    if (httpEnd == http::call_end::Broken && call.server->usable() && m_onBroken) {
         for (const auto &piece : call.pieces)
-            m_onBroken(*call.server, {piece.digest, answer.began});
+            m_onBroken(*call.server, {piece.digest, active.startedAt});
     }
     if (end != stage_call_end::Answered)
         m_log.write(wire::log_level::Info,
@@ -291,14 +292,15 @@
                         .add("service", key.service.value)
                         .add("server", call.server->record.id.value)
                         .add("pieces", call.pieces.size())
-                        .add("status", answer.status)
-                        .add("end", toName(how)));
-    m_metrics.onStageCall(key.service,
-                          {end, call.pieces.size(), call.longestWait,
-                           std::chrono::duration_cast<milliseconds>(m_loop.now() - answer.began)});
+                        .add("status", active.status)
+                        .add("end", toName(httpEnd)));
+    m_metrics.onStageCall(
+        key.service,
+        {end, call.pieces.size(), call.longestWait,
+         std::chrono::duration_cast<milliseconds>(m_loop.now() - active.startedAt)});
     logFailedPieces(key, call, results);
     deliver(poolOf(key).onEnd(call.id, end, results));
-    pump(key);
+    dispatch(key);
 }
 
 template <gateway_codec Codec>
@@ -318,7 +320,7 @@
                         .add("reason", toName(failure))
                         .add("count", count)
                         .add("of", results.size())
-                        .add("held_bytes", poolOf(key).heldAt(call.server->record.start())));
+                        .add("held_bytes", poolOf(key).heldBytesAt(call.server->record.start())));
     }
 }
 
@@ -342,21 +344,21 @@
         line.add("service", key.service.value).add("calls", summary.calls);
         if (!key.dataCenter.empty())
             line.add("data_center", key.dataCenter.value);
-        line.add("open", pool->callsOpen()).add("waiting", pool->waiting());
+        line.add("open", pool->activeCallCount()).add("waiting", pool->waiting());
         line.add("without_room", summary.withoutRoom);
         for (const auto &[priority, rank] : summary.ranks) {
             const auto suffix = "_" + std::to_string(priority);
             line.add("pieces" + suffix, rank.pieces);
-            line.add("mean_wait_ms" + suffix, rank.waited.count() / std::max(1U, rank.pieces));
+            line.add("mean_wait_ms" + suffix, rank.totalWait.count() / std::max(1U, rank.pieces));
             line.add("dropped" + suffix, rank.dropped);
         }
         m_log.write(wire::log_level::Info, std::move(line));
     }
 }
 
-// One line for each stage of a request, with what there was at that moment.
+// Logs one line for each stage of a request and reason, with the current load of its pool.
 template <gateway_codec Codec>
-void stage_host<Codec>::logGivenUp(const std::vector<piece_outcome> &outcomes)
+void stage_host<Codec>::logGivenUpPieces(const std::vector<piece_outcome> &outcomes)
 {
     struct given_up
     {
@@ -374,8 +376,9 @@
         auto &group = groups[{piece.attempt, piece.stage, *failure}];
         group.key = piece.key;
         ++group.count;
-        group.waited = std::max(
-            group.waited, std::chrono::duration_cast<milliseconds>(m_loop.now() - piece.since));
+        group.waited =
+            std::max(group.waited,
+                     std::chrono::duration_cast<milliseconds>(m_loop.now() - piece.submittedAt));
     }
     for (const auto &[key, group] : groups) {
         const auto &[attempt, stage, failure] = key;
@@ -389,7 +392,7 @@
                         .add("pieces", group.count)
                         .add("waited_ms", group.waited.count())
                         .add("waiting", pool.waiting())
-                        .add("calls_open", pool.callsOpen())
+                        .add("calls_open", pool.activeCallCount())
                         .add("servers", m_directory.usable(group.key).size()));
     }
 }
@@ -397,7 +400,7 @@
 template <gateway_codec Codec>
 void stage_host<Codec>::deliver(const std::vector<piece_outcome> &outcomes)
 {
-    logGivenUp(outcomes);
+    logGivenUpPieces(outcomes);
     for (const auto &each : outcomes) {
         const auto found = m_pending.find(each.token);
         if (found == m_pending.end()) {
@@ -407,18 +410,18 @@
         }
         const auto piece = std::move(found->second);
         m_pending.erase(found);
-        piece.handler({each.result, waitAfter(piece.key, piece.rank, each.result)});
+        piece.handler({each.result, expectedWaitAfter(piece.key, piece.rank, each.result)});
     }
 }
 
 template <gateway_codec Codec>
-milliseconds stage_host<Codec>::waitAfter(const pool_key &key, const stage_rank &rank,
-                                          const piece_result &result)
+milliseconds stage_host<Codec>::expectedWaitAfter(const pool_key &key, const stage_rank &rank,
+                                                  const piece_result &result)
 {
     const auto *failure = std::get_if<piece_failure>(&result);
     if (failure && *failure == piece_failure::ServersBackedOff)
         return m_directory.backoffOf(key).value_or(milliseconds{0});
-    return poolOf(key).waitOf(rank, strengthOf(key));
+    return poolOf(key).expectedWait(rank, effectiveServerCount(key));
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/stages/stage_pool.h
+++ b/src/gateway/stages/stage_pool.h
@@ -19,199 +19,202 @@
 
 namespace orchidlead::gateway {
 
-/// Names a piece to whoever submitted it.
+/// Identifies a piece to its submitter; 0 for a withdrawn piece.
 using piece_token = std::uint64_t;
 using stage_call_id = std::uint64_t;
 
-/// One piece that waits for a server.
+/// A piece that waits for a server.
 struct piece_job
 {
     piece_token token = 0;
     piece_request request;
     stage_rank rank;
-    steady_time aim{}; ///< done by then, its request can still earn full credit
-    steady_time deadline{}; ///< and nothing later
-    data_center_id near; ///< where its inputs lie
-    std::uint64_t inputBytes = 0; ///< about, of all inputs
-    std::size_t resultBytes = 0; ///< about
-    steady_time since{}; ///< when it began to wait
-    std::uint32_t tries = 0;
-    bool admitted = false; ///< was foreseen to be in time when it came
-    residency allowed; ///< stays with the node that submits it: the pool is in one region
-    bool mayMove = false; ///< likewise: another pool takes it where no server can be reached
+    steady_time aim{}; ///< end by which its request can still meet its latency objective
+    steady_time deadline{}; ///< the piece is dropped after this
+    data_center_id near; ///< data centre of its inputs
+    std::uint64_t inputBytes = 0; ///< approximate total of all inputs
+    std::size_t resultBytes = 0; ///< approximate
+    steady_time submittedAt{};
+    std::uint32_t tries = 0; ///< calls that included the piece
+    bool admitted = false; ///< was predicted to be in time
+    residency allowed; ///< regions; not sent to the host, as each pool is in one region
+    bool mayChangePool = false; ///< if no server is reachable; not sent to the host
 };
 
-/// A call to be made now.
+/// A call to be started now.
 struct stage_call
 {
     stage_call_id id = 0;
     server_ptr server;
     std::vector<piece_request> pieces;
     milliseconds timeout{0};
-    milliseconds longestWait{0}; ///< of a piece, before the call
+    milliseconds longestWait{0}; ///< of its pieces, before the call
 };
 
-/// What became of a piece.
+/// Final result of a piece.
 struct piece_outcome
 {
     piece_token token = 0;
     piece_result result;
 };
 
-/// What its submitter is told of a piece.
+/// Outcome of a piece as reported to its submitter.
 struct piece_report
 {
     piece_result result;
-    milliseconds wait{0}; ///< of a piece of the same rank that would come now, about
+    milliseconds wait{0}; ///< estimated, of a new piece of the same rank
 };
 
-/// What a pool did in a span of time, for the log.
+/// Activity of a pool in a period, for the log.
 struct stage_pool_summary
 {
     struct rank
     {
-        std::uint32_t pieces = 0; ///< that went into calls
-        milliseconds waited{0}; ///< before, all together
-        std::uint32_t dropped = 0; ///< given up because they would be late
+        std::uint32_t pieces = 0; ///< sent in calls
+        milliseconds totalWait{0}; ///< of the pieces before their calls
+        std::uint32_t dropped = 0; ///< expired, or dropped because they would be late
     };
     std::uint32_t calls = 0;
-    std::uint32_t withoutRoom = 0; ///< pieces that their server had no room for
+    std::uint32_t withoutRoom = 0; ///< pieces refused because their server had no room
     std::map<std::uint32_t, rank> ranks; ///< by priority
 };
 
 /// How a call ended.
 enum class stage_call_end {
     Answered,
-    NotSent, ///< no server got it
-    Withheld, ///< likewise: the server was not to have it any more
-    NotRun, ///< the server refused it
-    Broken, ///< may have run
+    NotSent, ///< not received by any server
+    Withheld, ///< not sent, as the server stopped accepting calls
+    NotRun, ///< refused by the server without running
+    Broken, ///< timed out or without a valid answer; may have run
 };
 
-/// Forms the calls to the backend servers of one service out of the pieces of many requests.
+/// Batches the pieces of many requests into calls to the backend servers of one service.
 ///
-/// A call takes its time whatever it holds, so pieces wait for a free server together: by priority,
-/// then those whose aim can still be met, then by aim. One call at a time goes to a server: more
-/// would only wait there, and couldn't take in pieces that come meanwhile.
+/// Each call has a fixed cost, so pieces wait for an idle server and share calls. Pieces whose
+/// `aim` can still be met precede late ones; within both groups pieces are ordered by rank, then by
+/// `aim`. A server gets one call at a time: further calls would only queue there, and couldn't
+/// include pieces that arrive in the meantime.
 ///
-/// Results take room at their server until they are freed or lapse. The pool counts it, so that a
-/// call isn't made for results that have no room.
+/// Results occupy room at their server until they are freed or expire. The pool accounts for this
+/// room, so that no call is made whose results wouldn't fit.
 class stage_pool
 {
 public:
     stage_pool(const clock_source &clock, service_id service, retry_allowance &allowance);
 
     void setCapacity(const stage_capacity &capacity) { m_capacity = capacity; }
-    void setWaitsForNear(bool waits) { m_waitsForNear = waits; }
-    /// Whether a piece of such a request may be tried again where its server may have ended under
-    /// it.
-    void setMayRepeat(std::function<bool(const request_digest &)> mayRepeat)
+    void setWaitsForNear(bool waits) { m_waitsForLocalServer = waits; }
+    /// Sets the function that returns whether a piece of a request may be retried after a call that
+    /// may have crashed its server.
+    void setMayRetry(std::function<bool(const request_digest &)> mayRetry)
     {
-        m_mayRepeat = std::move(mayRepeat);
+        m_mayRetry = std::move(mayRetry);
     }
     void submit(piece_job job);
-    /// The piece isn't needed any more; no outcome follows.
+    /// Withdraws a piece that is no longer needed. If it is already in a call, `onEnd` may still
+    /// return its result, with token 0, so that the result can be freed.
     void withdraw(piece_token token);
 
-    /// Gives the next call to make now, if a server is free for one.
-    [[nodiscard]] std::optional<stage_call> next(const std::vector<server_ptr> &servers);
-    /// Takes the end of a call; `results` in the order of its pieces. Pieces that may be tried
-    /// again wait on. Gives what became of the others.
-    [[nodiscard]] std::vector<piece_outcome> onEnd(stage_call_id call, stage_call_end how,
+    /// Returns the next call to make now, if there is an idle server for one.
+    [[nodiscard]] std::optional<stage_call> nextCall(const std::vector<server_ptr> &servers);
+    /// Handles the end of a call; `results` are in the order of its pieces. Pieces that may be
+    /// retried wait again; returns the outcomes of the others.
+    [[nodiscard]] std::vector<piece_outcome> onEnd(stage_call_id call, stage_call_end callEnd,
                                                    const std::vector<piece_result> &results);
-    /// A result was given up at its server.
+    /// Releases the room of a result that its server has freed.
     void onFreed(const std::string &handle);
-    /// Drops pieces whose deadline is over, and those that will be late where others, which can
-    /// still be in time, keep all `servers` busy. A server that may do fewer calls than it could
-    /// counts as a part of one.
+    /// Drops pieces past their deadline, and late pieces if the pieces that can still be in time
+    /// need more than one call of each server. `servers` is the number of servers; a rate-limited
+    /// one counts as a fraction.
     [[nodiscard]] std::vector<piece_outcome> expire(double servers);
 
-    /// Gives up all pieces that wait: the servers of the pool get nothing new.
-    [[nodiscard]] std::vector<piece_outcome> giveUpAll(piece_failure why);
-    /// Gives up pieces that may move, where each of these servers, all that may get new work, has
-    /// failed a moment ago, or there are none.
-    [[nodiscard]] std::vector<piece_outcome>
-    giveUpUnreached(const std::vector<server_ptr> &servers);
-    /// Gives up pieces whose inputs lie in a data centre that can't be reached.
-    [[nodiscard]] std::vector<piece_outcome> dropInputsIn(const data_center_id &dataCenter);
-    /// Gives how long a piece that came now would wait behind those that go first, about.
-    [[nodiscard]] milliseconds waitOf(const stage_rank &rank, double servers) const;
-    /// How long a full call takes.
-    [[nodiscard]] std::chrono::microseconds fullCall() const
+    /// Fails all waiting pieces, as the pool's servers accept no new work.
+    [[nodiscard]] std::vector<piece_outcome> failAll(piece_failure reason);
+    /// Fails pieces that may change to another pool, if all `servers` are paused after a failure or
+    /// there are none. `servers` are all usable servers of the pool.
+    [[nodiscard]] std::vector<piece_outcome> failUnreached(const std::vector<server_ptr> &servers);
+    /// Fails pieces whose inputs are in an unreachable data centre.
+    [[nodiscard]] std::vector<piece_outcome> failWithInputsIn(const data_center_id &dataCenter);
+    /// Estimates how long a piece submitted now would wait behind the pieces that precede it.
+    [[nodiscard]] milliseconds expectedWait(const stage_rank &rank, double servers) const;
+    /// Returns the expected duration of a full call.
+    [[nodiscard]] std::chrono::microseconds fullCallTime() const
     {
         return expectedTime(m_capacity.batch);
     }
-    /// When `next` may give a call though nothing else happens.
+    /// Returns when `nextCall` may return a call without another event in between.
     [[nodiscard]] std::optional<steady_time> wakeAt() const;
-    /// Bytes of results that a server is taken to hold.
-    [[nodiscard]] std::uint64_t heldAt(const server_start &server) const;
-    /// Gives what was done since the last call.
+    /// Returns the bytes of results accounted to a server.
+    [[nodiscard]] std::uint64_t heldBytesAt(const server_start &server) const;
+    /// Returns the activity since the last call of this function.
     [[nodiscard]] stage_pool_summary takeSummary() { return std::exchange(m_summary, {}); }
     [[nodiscard]] std::size_t waiting() const { return m_waiting.size(); }
-    [[nodiscard]] std::size_t callsOpen() const { return m_calls.size(); }
+    [[nodiscard]] std::size_t activeCallCount() const { return m_calls.size(); }
 
 private:
-    struct open_call
+    struct active_call
     {
         server_ptr server;
         std::vector<piece_job> jobs;
-        steady_time began;
+        steady_time startedAt;
         std::chrono::microseconds expected{0};
     };
     struct server_state
     {
-        std::uint32_t calls = 0; ///< open now
-        steady_time busyUntil{}; ///< refused: not asked before
-        std::uint32_t failures = 0; ///< calls in a row without an answer
-        std::uint64_t held = 0; ///< bytes of results, those being made included
+        std::uint32_t calls = 0; ///< in progress
+        steady_time pausedUntil{}; ///< gets no call before this
+        std::uint32_t consecutiveFailures = 0; ///< calls without an answer
+        std::uint64_t heldBytes = 0; ///< results, including expected ones of calls in progress
     };
     struct held_result
     {
         server_start server;
         std::uint64_t bytes = 0;
-        steady_time lapses;
+        steady_time expiresAt;
     };
 
-    /// The order of pieces at one moment, for a server in the data centre `at`; empty: for any.
-    [[nodiscard]] bool before(const piece_job &a, const piece_job &b, const data_center_id &at,
-                              steady_time now) const;
+    /// Returns whether `a` precedes `b` at time `now`, for a server in the data centre `at`; if
+    /// `at` is empty, for a server anywhere.
+    [[nodiscard]] bool precedes(const piece_job &a, const piece_job &b, const data_center_id &at,
+                                steady_time now) const;
     [[nodiscard]] bool isLate(const piece_job &job, steady_time now) const;
-    [[nodiscard]] std::vector<bool> foreseenLate(double servers);
-    [[nodiscard]] std::vector<server_ptr> freeServers(const std::vector<server_ptr> &servers,
+    [[nodiscard]] std::vector<bool> findLatePieces(double servers);
+    [[nodiscard]] std::vector<server_ptr> idleServers(const std::vector<server_ptr> &servers,
                                                       const data_center_id &near);
-    /// Where the waiting pieces of the same stage of the same request end.
+    /// Returns the end of the run of waiting pieces of the same request and stage from `begin` on.
     [[nodiscard]] std::size_t groupEnd(std::size_t begin) const;
-    [[nodiscard]] std::vector<piece_job> takeFitting(const server &chosen, bool mayWait);
-    /// Whether the piece still waits for a server beside its inputs rather than go to `chosen`.
-    [[nodiscard]] bool waitsForNear(const piece_job &job, const server &chosen,
-                                    steady_time now) const;
-    [[nodiscard]] steady_time nearUntil(const piece_job &job) const;
+    [[nodiscard]] std::vector<piece_job> takeBatch(const server &chosen, bool mayWait);
+    /// Returns whether a piece still waits for a server in its inputs' data centre instead of going
+    /// to `chosen`.
+    [[nodiscard]] bool waitsForLocalServer(const piece_job &job, const server &chosen,
+                                           steady_time now) const;
+    [[nodiscard]] steady_time localWaitEnd(const piece_job &job) const;
     [[nodiscard]] stage_call makeCall(const server_ptr &chosen, std::vector<piece_job> jobs);
-    void hold(const server_start &server, const std::string &handle, std::uint64_t bytes);
-    void release(const server_start &server, std::uint64_t bytes);
-    void dropLapsed();
+    void recordResult(const server_start &server, const std::string &handle, std::uint64_t bytes);
+    void releaseBytes(const server_start &server, std::uint64_t bytes);
+    void dropExpiredResults();
     [[nodiscard]] std::chrono::microseconds expectedTime(std::size_t pieces) const;
-    /// How long so many pieces of a rank take, all servers together, beside the more urgent ones
-    /// that come meanwhile.
-    [[nodiscard]] std::chrono::microseconds waitBehind(std::size_t pieces, const stage_rank &rank,
-                                                       double servers) const;
-    void learn(const open_call &call);
-    void again(piece_job job, stage_call_end how, std::vector<piece_outcome> &out);
+    /// Estimates how long all servers together take for `pieces` of a rank, given the arrival rate
+    /// of more urgent pieces.
+    [[nodiscard]] std::chrono::microseconds estimateWait(std::size_t pieces, const stage_rank &rank,
+                                                         double servers) const;
+    void updateSlowness(const active_call &call);
+    void retryOrFail(piece_job job, stage_call_end callEnd, std::vector<piece_outcome> &out);
 
     const clock_source &m_clock;
     service_id m_service;
     retry_allowance &m_allowance;
     stage_capacity m_capacity;
-    std::function<bool(const request_digest &)> m_mayRepeat; ///< empty: any
-    bool m_waitsForNear = true;
+    std::function<bool(const request_digest &)> m_mayRetry; ///< if empty, always
+    bool m_waitsForLocalServer = true;
     std::vector<piece_job> m_waiting;
     std::map<stage_rank, decaying_rate> m_arrivals;
-    std::map<stage_call_id, open_call> m_calls;
+    std::map<stage_call_id, active_call> m_calls;
     std::map<server_start, server_state> m_servers;
     std::unordered_map<std::string, held_result> m_results; ///< by handle
-    std::uint64_t m_unnamed = 0; ///< results of calls whose answer was lost
+    std::uint64_t m_unnamedResults = 0; ///< count of results of calls whose answer was lost
     stage_call_id m_lastCall = 0;
-    std::set<data_center_id> m_dataCenters; ///< with a usable server, as of the last call of `next`
+    std::set<data_center_id> m_dataCenters; ///< with a usable server at the last `nextCall`
     stage_pool_summary m_summary;
 };
 
--- a/src/gateway/stages/stage_rank.h
+++ b/src/gateway/stages/stage_rank.h
@@ -5,11 +5,12 @@
 
 namespace orchidlead::gateway {
 
-/// Requests that wait in the same order at stage pools.
+/// Precedence of a request at stage pools. Requests of equal rank are ordered by their target
+/// times.
 struct stage_rank
 {
-    std::uint32_t priority = 0; ///< 0: the most urgent
-    std::uint32_t routePriority = 0; ///< decides between equal priorities
+    std::uint32_t priority = 0; ///< 0 is the most urgent
+    std::uint32_t routePriority = 0; ///< breaks ties between equal priorities
 
     // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
     friend auto operator<=>(const stage_rank &, const stage_rank &) = default;
--- a/src/gateway/stages/stage_router.h
+++ b/src/gateway/stages/stage_router.h
@@ -13,11 +13,12 @@
 
 namespace orchidlead::gateway {
 
-/// Brings each piece to the node that hosts the stage pool of its service and place, so that the
+/// Sends each piece to the node that hosts the stage pool for its service and location, so that the
 /// pieces of all nodes share calls.
 ///
-/// A host is held to nothing: when its link ends or falls silent, pieces are submitted again to
-/// whoever is the host then, at last to this node itself. A piece may be done twice so.
+/// Hosts give no guarantee. When the link to a host closes or times out, its pieces are submitted
+/// again to the current host of the pool, and after `MaxMoves` moves to this node's own
+/// `stage_host`. A piece may therefore run twice.
 template <gateway_codec Codec>
 class stage_router
 {
@@ -28,28 +29,29 @@
                  server_directory &directory, retry_allowance &allowance,
                  const gateway_settings &settings);
 
-    /// Whether this node knows servers, and can host for others; it does if that is never said.
+    /// Sets the function that returns whether this node has the list of servers and can host pools
+    /// for other nodes. If unset, the node always hosts.
     void setPrepared(std::function<bool()> prepared) { m_prepared = std::move(prepared); }
-    /// Gives the node that hosts a pool for this node.
+    /// Returns the node that hosts a pool, from the view of this node.
     [[nodiscard]] vm_id hostOf(const pool_key &pool) const;
-    /// Gives the pool of a service for work that is best done in `near`.
+    /// Returns the pool of a service for work that is preferably done in the data centre `near`.
     [[nodiscard]] pool_key poolFor(const service_id &service, const data_center_id &near,
                                    const residency &allowed = {});
-    /// How long no host takes pieces of a service, as they told this node: their servers asked
-    /// them for time. Empty: some do.
+    /// Returns how long all pools of a service are backing off, as reported by their hosts because
+    /// their servers asked for it. Empty if one of them accepts pieces.
     [[nodiscard]] std::optional<milliseconds>
     backoffOf(const service_id &service, const data_center_id &near, const residency &allowed);
-    /// Servers of a service came, changed or left.
+    /// Forgets the backoffs of a service whose servers were added, changed or removed.
     void onServersChanged(const service_id &service);
     piece_token submit(const service_id &service, piece_job &&job, piece_handler &&handler);
     void withdraw(piece_token token);
-    /// Gives results up, through the hosts of their services, which count them.
+    /// Frees results through the hosts of their pools, which account for them.
     void free(const std::vector<std::string> &handles);
 
-    /// A frame about pieces; others are ignored.
+    /// Handles frames about pieces, and pings; ignores others.
     void onFrame(const std::shared_ptr<peer_link> &link, peer_frame &&frame);
     void onLinkClosed(const std::shared_ptr<peer_link> &link);
-    /// Looks for hosts that have fallen silent; call every 100 ms or so.
+    /// Pings silent hosts and closes the links to those that don't answer. Call about every 100 ms.
     void tick();
 
 private:
@@ -60,37 +62,37 @@
         pool_key pool;
         piece_job job;
         piece_handler handler;
-        link_ptr link; ///< to the host; null: this node
-        piece_token local = 0; ///< of the own host
+        link_ptr link; ///< to the host; null if this node is the host
+        piece_token local = 0; ///< from this node's `stage_host`
         std::uint32_t moves = 0;
     };
 
-    /// A pool whose servers asked its host for time, or couldn't be reached.
+    /// Backoff of a pool whose servers asked its host for it, or couldn't be reached.
     struct backed_off_pool
     {
         vm_id host;
         steady_time until;
     };
 
-    /// As `poolFor`, or the pool of another data centre, the own one first, where that one's
-    /// servers asked for time or couldn't be reached.
-    [[nodiscard]] pool_key openPoolFor(const service_id &service, const data_center_id &near,
-                                       const residency &allowed);
+    /// Returns the pool of `poolFor` unless it is backing off. Otherwise returns another pool that
+    /// isn't, preferably that of this node's data centre; if there is none, that of `poolFor`.
+    [[nodiscard]] pool_key availablePoolFor(const service_id &service, const data_center_id &near,
+                                            const residency &allowed);
     [[nodiscard]] std::optional<milliseconds> backoffOf(const pool_key &pool) const;
-    void place(piece_token token, submission &entry);
-    /// Gives a link to the host of a pool; null: this node.
+    void routePiece(piece_token token, submission &entry);
+    /// Returns a link to the host of a pool; null if this node is the host.
     [[nodiscard]] link_ptr linkToHost(const pool_key &pool);
     void onOutcome(piece_token token, piece_report report);
-    /// Brings a piece whose pool gets nothing new to another one; false where there is none.
-    bool moveFromClosed(piece_token token, submission &entry);
-    /// Brings a piece to the next node in question, and others that come for a while.
-    void leaveUnreadyHost(piece_token token, submission &entry);
-    /// The pool of the own data centre, where it isn't the piece's and may get it.
-    [[nodiscard]] std::optional<pool_key> ownPoolFor(const submission &entry);
-    /// Moves a piece there; false where that can't be.
-    [[nodiscard]] bool moveHome(piece_token token, submission &entry);
-    /// Places a piece anew, not within the handler of its outcome.
-    void placeLater(piece_token token, submission &entry, milliseconds delay);
+    /// Moves a piece from a pool that accepts no new work; returns false if no pool can take it.
+    bool moveFromClosedPool(piece_token token, submission &entry);
+    /// Avoids the piece's host for a while, and sends the piece to the next candidate.
+    void avoidUnreadyHost(piece_token token, submission &entry);
+    /// Returns the pool of this node's data centre if it can take the piece and isn't its pool.
+    [[nodiscard]] std::optional<pool_key> ownDataCenterPool(const submission &entry);
+    /// Moves a piece to the pool of this node's data centre; returns false if it can't take it.
+    [[nodiscard]] bool moveToOwnDataCenter(piece_token token, submission &entry);
+    /// Routes a piece again after `delay`, never within the handler of its outcome.
+    void routePieceLater(piece_token token, submission &entry, milliseconds delay);
     void onPieceFrame(const link_ptr &link, piece_frame &&frame);
     void onWithdrawFrame(const link_ptr &link, piece_token token);
 
@@ -105,8 +107,9 @@
     stage_sharing m_sharing;
     pool_widths m_widths;
     std::unordered_map<piece_token, submission> m_submissions;
-    std::map<link_ptr, std::unordered_map<piece_token, piece_token>> m_hosted; ///< theirs to ours
-    std::map<pool_key, backed_off_pool> m_backedOff;
+    std::map<link_ptr, std::unordered_map<piece_token, piece_token>>
+        m_hostedPieces; ///< by link, from the peer's token to that of `m_host`
+    std::map<pool_key, backed_off_pool> m_backedOffPools;
     piece_token m_lastToken = 0;
 };
 
--- a/src/gateway/stages/stage_router_impl.h
+++ b/src/gateway/stages/stage_router_impl.h
@@ -8,21 +8,21 @@
 
 namespace orchidlead::gateway {
 
-/// A host that owes outcomes is asked whether it is there after this silence, and given up when it
-/// hasn't answered for so long: a few round trips and a lost packet, against aims of 1.6 s and
-/// more.
-inline constexpr milliseconds HostPingAfter{100};
-inline constexpr milliseconds HostSilence{320};
-/// A data centre with three servers and more fills calls by itself; with one or two, calls that are
-/// less full cost more than results that cross.
+/// A host with outstanding pieces is pinged after `HostPingDelay` without a frame from it, and its
+/// link is closed when a ping is unanswered for `HostTimeout`. The timeout covers a few round trips
+/// and a lost packet, and is short against latency objectives of 1.6 s and more.
+inline constexpr milliseconds HostPingDelay{100};
+inline constexpr milliseconds HostTimeout{320};
+/// A data centre with three or more servers fills calls by itself. With one or two, the cost of
+/// calls with fewer pieces exceeds that of transferring results between data centres.
 inline constexpr pool_width_limits StagePoolWidths{3, 2};
-/// A host that knows that servers leave or are evacuated before this node does is asked again after
-/// this: nodes tell each other within a few ticks.
-inline constexpr milliseconds ServerNews{150};
-/// How long pieces don't go to a pool whose servers couldn't be reached: by then it is known
-/// whether their data centre is cut off.
-inline constexpr milliseconds UnreachedPause{500};
-/// After this many moves a piece stays with this node.
+/// Delay before a piece is sent again to a host that sees its servers leaving or evacuated while
+/// this node doesn't yet. Nodes exchange such updates within a few ticks.
+inline constexpr milliseconds ServerUpdateDelay{150};
+/// How long a pool whose servers couldn't be reached gets no pieces. By then it is known whether
+/// its data centre is cut off.
+inline constexpr milliseconds UnreachablePoolPause{500};
+/// After this many moves a piece stays with this node's `stage_host`.
 inline constexpr std::uint32_t MaxMoves = 2;
 
 template <gateway_codec Codec>
@@ -69,31 +69,31 @@
 {
     const auto token = ++m_lastToken;
     auto &entry = m_submissions[token];
-    entry.pool = openPoolFor(service, job.near, job.allowed);
+    entry.pool = availablePoolFor(service, job.near, job.allowed);
     entry.job = std::move(job);
     entry.handler = std::move(handler);
-    place(token, entry);
+    routePiece(token, entry);
     return token;
 }
 
 template <gateway_codec Codec>
 std::optional<milliseconds> stage_router<Codec>::backoffOf(const pool_key &pool) const
 {
-    const auto found = m_backedOff.find(pool);
+    const auto found = m_backedOffPools.find(pool);
     const auto now = m_loop.now();
-    // Another host wasn't asked for anything.
-    if (found == m_backedOff.end() || found->second.host != hostOf(pool)
+    // The backoff applies only to the host that reported it.
+    if (found == m_backedOffPools.end() || found->second.host != hostOf(pool)
         || found->second.until <= now)
         return std::nullopt;
     return std::chrono::ceil<milliseconds>(found->second.until - now);
 }
 
 template <gateway_codec Codec>
-pool_key stage_router<Codec>::openPoolFor(const service_id &service, const data_center_id &near,
-                                          const residency &allowed)
+pool_key stage_router<Codec>::availablePoolFor(const service_id &service,
+                                               const data_center_id &near, const residency &allowed)
 {
     auto nearest = poolFor(service, near, allowed);
-    if (m_backedOff.empty() || !backoffOf(nearest))
+    if (m_backedOffPools.empty() || !backoffOf(nearest))
         return nearest;
     if (auto own = poolFor(service, m_dataCenter, allowed);
         own != nearest && !m_directory.usable(own).empty() && !backoffOf(own))
@@ -111,34 +111,35 @@
                                                            const data_center_id &near,
                                                            const residency &allowed)
 {
-    if (m_backedOff.empty())
+    if (m_backedOffPools.empty())
         return std::nullopt;
-    return backoffOf(openPoolFor(service, near, allowed));
+    return backoffOf(availablePoolFor(service, near, allowed));
 }
 
 template <gateway_codec Codec>
 void stage_router<Codec>::onServersChanged(const service_id &service)
 {
-    std::erase_if(m_backedOff, [&](const auto &entry) { return entry.first.service == service; });
+    std::erase_if(m_backedOffPools,
+                  [&](const auto &entry) { return entry.first.service == service; });
 }
 
 template <gateway_codec Codec>
-void stage_router<Codec>::place(piece_token token, submission &entry)
+void stage_router<Codec>::routePiece(piece_token token, submission &entry)
 {
     entry.link = entry.moves < MaxMoves ? linkToHost(entry.pool) : nullptr;
     if (!entry.link) {
-        entry.job.mayMove = ownPoolFor(entry).has_value();
+        entry.job.mayChangePool = ownDataCenterPool(entry).has_value();
         entry.local = m_host.submit(entry.pool, entry.job, [this, token](piece_report report) {
             onOutcome(token, std::move(report));
         });
         return;
     }
     const auto now = m_loop.now();
-    const auto leftUntil = [now](steady_time due) {
+    const auto timeUntil = [now](steady_time due) {
         return std::chrono::duration_cast<milliseconds>(due - now);
     };
     entry.link->send(piece_frame{token, entry.pool, entry.job.request, entry.job.rank,
-                                 leftUntil(entry.job.aim), leftUntil(entry.job.deadline),
+                                 timeUntil(entry.job.aim), timeUntil(entry.job.deadline),
                                  entry.job.near, entry.job.inputBytes, entry.job.resultBytes});
 }
 
@@ -149,7 +150,7 @@
     for (const auto &each : handles) {
         const auto address = parseSocketAddress(holderOf(each));
         const auto holder = address ? m_directory.findAt(*address) : nullptr;
-        // The results of a server that has gone went with it.
+        // The results of a removed server are lost with it.
         if (holder)
             byPool[poolFor(holder->record.service, holder->record.dataCenter)].push_back(each);
     }
@@ -172,47 +173,50 @@
     }
     const auto *failure = std::get_if<piece_failure>(&report.result);
     if (failure && *failure == piece_failure::HostUnready && found->second.link) {
-        leaveUnreadyHost(token, found->second);
+        avoidUnreadyHost(token, found->second);
         return;
     }
     if (failure && *failure == piece_failure::ServersBackedOff)
-        m_backedOff[found->second.pool] = {hostOf(found->second.pool), m_loop.now() + report.wait};
-    if (failure && poolIsClosed(*failure) && moveFromClosed(token, found->second))
+        m_backedOffPools[found->second.pool] = {hostOf(found->second.pool),
+                                                m_loop.now() + report.wait};
+    if (failure && poolIsClosed(*failure) && moveFromClosedPool(token, found->second))
         return;
-    if (failure && *failure == piece_failure::Unreached && moveHome(token, found->second))
+    if (failure && *failure == piece_failure::Unreached
+        && moveToOwnDataCenter(token, found->second))
         return;
     const auto handler = std::move(found->second.handler);
     m_submissions.erase(found);
     handler(std::move(report));
 }
 
-// No server has begun it, so it is no second try. Where this node sees servers in the pool that its
-// host sees leave or evacuated, one of them will know better soon.
+// No server has started the piece, so this doesn't count as a retry. If this node has usable
+// servers in a pool that its host reports as closed, their views differ only for a short time, and
+// the piece is sent to the same pool again after `ServerUpdateDelay`.
 template <gateway_codec Codec>
-bool stage_router<Codec>::moveFromClosed(piece_token token, submission &entry)
+bool stage_router<Codec>::moveFromClosedPool(piece_token token, submission &entry)
 {
-    const auto before = std::exchange(
-        entry.pool, openPoolFor(entry.pool.service, entry.job.near, entry.job.allowed));
+    const auto previousPool = std::exchange(
+        entry.pool, availablePoolFor(entry.pool.service, entry.job.near, entry.job.allowed));
     if (entry.moves++ >= MaxMoves || m_directory.usable(entry.pool).empty()
         || backoffOf(entry.pool))
         return false;
-    placeLater(token, entry, entry.pool == before ? ServerNews : milliseconds{0});
+    routePieceLater(token, entry, entry.pool == previousPool ? ServerUpdateDelay : milliseconds{0});
     return true;
 }
 
 template <gateway_codec Codec>
-void stage_router<Codec>::placeLater(piece_token token, submission &entry, milliseconds delay)
+void stage_router<Codec>::routePieceLater(piece_token token, submission &entry, milliseconds delay)
 {
     entry.link = nullptr;
     entry.local = 0;
     m_loop.callAfter(delay, [this, token] {
         if (const auto found = m_submissions.find(token); found != m_submissions.end())
-            place(token, found->second);
+            routePiece(token, found->second);
     });
 }
 
 template <gateway_codec Codec>
-std::optional<pool_key> stage_router<Codec>::ownPoolFor(const submission &entry)
+std::optional<pool_key> stage_router<Codec>::ownDataCenterPool(const submission &entry)
 {
     auto own = poolFor(entry.pool.service, m_dataCenter, entry.job.allowed);
     if (own == entry.pool || own.dataCenter != m_dataCenter
@@ -222,28 +226,29 @@
     return own;
 }
 
-// A data centre that is cut off refuses connections at once, and is lost only after a while.
+// Connections to a data centre that is cut off are refused at once, but the data centre is declared
+// lost only after a while.
 template <gateway_codec Codec>
-bool stage_router<Codec>::moveHome(piece_token token, submission &entry)
+bool stage_router<Codec>::moveToOwnDataCenter(piece_token token, submission &entry)
 {
-    auto own = ownPoolFor(entry);
+    auto own = ownDataCenterPool(entry);
     if (!own)
         return false;
-    m_backedOff[entry.pool] = {hostOf(entry.pool), m_loop.now() + UnreachedPause};
+    m_backedOffPools[entry.pool] = {hostOf(entry.pool), m_loop.now() + UnreachablePoolPause};
     entry.pool = std::move(*own);
     entry.job.near = m_dataCenter;
     entry.moves = 0;
-    placeLater(token, entry, milliseconds{0});
+    routePieceLater(token, entry, milliseconds{0});
     return true;
 }
 
 template <gateway_codec Codec>
-void stage_router<Codec>::leaveUnreadyHost(piece_token token, submission &entry)
+void stage_router<Codec>::avoidUnreadyHost(piece_token token, submission &entry)
 {
     if (const auto host = m_peers.peerOf(entry.link))
         m_peers.avoid(*host);
     ++entry.moves;
-    place(token, entry);
+    routePiece(token, entry);
 }
 
 template <gateway_codec Codec>
@@ -277,10 +282,11 @@
 template <gateway_codec Codec>
 void stage_router<Codec>::onPieceFrame(const link_ptr &link, piece_frame &&frame)
 {
-    const auto theirs = frame.token;
-    // A node is taken for a host as soon as it is heard of, and reads the list of servers first.
+    const auto peerToken = frame.token;
+    // Other nodes choose a new node as a host as soon as they see it in the membership, before it
+    // has read the list of servers.
     if (m_prepared && !m_prepared()) {
-        link->send(outcome_frame{theirs, {piece_failure::HostUnready}});
+        link->send(outcome_frame{peerToken, {piece_failure::HostUnready}});
         return;
     }
     const auto now = m_loop.now();
@@ -292,20 +298,20 @@
     job.near = frame.near;
     job.inputBytes = frame.inputBytes;
     job.resultBytes = frame.resultBytes;
-    auto handler = [this, weak = std::weak_ptr(link), theirs](piece_report report) {
+    auto handler = [this, weak = std::weak_ptr(link), peerToken](piece_report report) {
         const auto target = weak.lock();
         if (!target)
             return;
-        m_hosted[target].erase(theirs);
-        target->send(outcome_frame{theirs, std::move(report)});
+        m_hostedPieces[target].erase(peerToken);
+        target->send(outcome_frame{peerToken, std::move(report)});
     };
-    m_hosted[link][theirs] = m_host.submit(frame.pool, std::move(job), std::move(handler));
+    m_hostedPieces[link][peerToken] = m_host.submit(frame.pool, std::move(job), std::move(handler));
 }
 
 template <gateway_codec Codec>
 void stage_router<Codec>::onWithdrawFrame(const link_ptr &link, piece_token token)
 {
-    auto &hosted = m_hosted[link];
+    auto &hosted = m_hostedPieces[link];
     const auto found = hosted.find(token);
     if (found == hosted.end())
         return;
@@ -316,10 +322,10 @@
 template <gateway_codec Codec>
 void stage_router<Codec>::onLinkClosed(const link_ptr &link)
 {
-    if (const auto found = m_hosted.find(link); found != m_hosted.end()) {
-        for (const auto &[theirs, ours] : found->second)
-            m_host.withdraw(ours);
-        m_hosted.erase(found);
+    if (const auto found = m_hostedPieces.find(link); found != m_hostedPieces.end()) {
+        for (const auto &[peerToken, localToken] : found->second)
+            m_host.withdraw(localToken);
+        m_hostedPieces.erase(found);
     }
     std::vector<piece_token> lost;
     for (const auto &[token, entry] : m_submissions) {
@@ -337,23 +343,23 @@
             continue;
         ++found->second.moves;
         m_allowance.onForced(found->second.pool.service, 1);
-        place(token, found->second);
+        routePiece(token, found->second);
     }
 }
 
 template <gateway_codec Codec>
 void stage_router<Codec>::tick()
 {
-    std::set<link_ptr> owing;
+    std::set<link_ptr> awaitedLinks;
     for (const auto &[token, entry] : m_submissions) {
         if (entry.link)
-            owing.insert(entry.link);
+            awaitedLinks.insert(entry.link);
     }
-    for (const auto &link : owing) {
+    for (const auto &link : awaitedLinks) {
         const auto now = m_loop.now();
-        if (link->askedAt() && now - *link->askedAt() > HostSilence)
+        if (link->askedAt() && now - *link->askedAt() > HostTimeout)
             link->close();
-        else if (now - link->lastHeard() > HostPingAfter)
+        else if (now - link->lastHeard() > HostPingDelay)
             link->ask();
     }
 }
--- a/src/gateway/stages/stage_work.cpp
+++ b/src/gateway/stages/stage_work.cpp
@@ -6,49 +6,50 @@
 
 namespace {
 
-// Most pieces of one stage of one request; far beyond any that is published.
+// Maximum number of pieces in one stage of a request, far above that of any published route.
 constexpr std::uint32_t MaxPieces = 10'000;
 
 } // namespace
 
-std::optional<stage_work> stage_work::create(const route &way, const request_marks &marks)
+std::optional<stage_work> stage_work::create(const route &stagedRoute, const request_marks &marks)
 {
-    if (marks.pieceCounts.size() != way.stages.size())
+    if (marks.pieceCounts.size() != stagedRoute.stages.size())
         return std::nullopt;
-    stage_work made;
-    made.m_attempt = marks.attempt;
-    made.m_key = marks.pieceKey;
-    for (std::size_t i = 0; i < way.stages.size(); ++i) {
+    stage_work created;
+    created.m_attempt = marks.attempt;
+    created.m_key = marks.pieceKey;
+    for (std::size_t i = 0; i < stagedRoute.stages.size(); ++i) {
         if (marks.pieceCounts[i] > MaxPieces)
             return std::nullopt;
         stage_state state;
-        state.spec = way.stages[i];
+        state.spec = stagedRoute.stages[i];
         state.handles.resize(marks.pieceCounts[i]);
         state.missing = marks.pieceCounts[i];
-        made.m_missing += state.missing;
-        made.m_stages.push_back(std::move(state));
+        created.m_missing += state.missing;
+        created.m_stages.push_back(std::move(state));
     }
-    for (const auto &each : way.stages) {
-        for (const std::size_t before : each.after) {
-            if (before >= made.m_stages.size())
+    for (const auto &each : stagedRoute.stages) {
+        for (const std::size_t dependency : each.after) {
+            if (dependency >= created.m_stages.size())
                 return std::nullopt;
-            made.m_stages[before].followed = true;
+            created.m_stages[dependency].hasDependents = true;
         }
     }
-    return made;
+    return created;
 }
 
 bool stage_work::inputsReady(const stage_state &stage) const
 {
-    return std::ranges::all_of(stage.spec.after,
-                               [&](std::size_t before) { return m_stages[before].missing == 0; });
+    return std::ranges::all_of(stage.spec.after, [&](std::size_t dependency) {
+        return m_stages[dependency].missing == 0;
+    });
 }
 
 std::vector<std::string> stage_work::inputsOf(const stage_state &stage) const
 {
     std::vector<std::string> inputs;
-    for (const std::size_t before : stage.spec.after) {
-        const auto &handles = m_stages[before].handles;
+    for (const std::size_t dependency : stage.spec.after) {
+        const auto &handles = m_stages[dependency].handles;
         inputs.insert(inputs.end(), handles.begin(), handles.end());
     }
     return inputs;
@@ -57,23 +58,23 @@
 std::uint64_t stage_work::inputBytesOf(const stage_state &stage) const
 {
     std::uint64_t bytes = 0;
-    for (const std::size_t before : stage.spec.after)
-        bytes += m_stages[before].spec.resultBytes * m_stages[before].handles.size();
+    for (const std::size_t dependency : stage.spec.after)
+        bytes += m_stages[dependency].spec.resultBytes * m_stages[dependency].handles.size();
     return bytes;
 }
 
-// Stages come behind those that they need, so one pass suffices.
+// Stages are ordered after those that they depend on, so one pass is enough.
 std::chrono::microseconds
-stage_work::timeToCome(const std::vector<std::chrono::microseconds> &stageTimes) const
+stage_work::remainingChainTime(const std::vector<std::chrono::microseconds> &stageTimes) const
 {
     std::vector<std::chrono::microseconds> ends(m_stages.size(), std::chrono::microseconds{0});
     std::chrono::microseconds longest{0};
     for (std::size_t i = 0; i < m_stages.size(); ++i) {
         const auto &stage = m_stages[i];
-        if (stage.taken || inputsReady(stage) || stage.missing == 0)
+        if (stage.submitted || inputsReady(stage) || stage.missing == 0)
             continue;
-        for (const std::size_t before : stage.spec.after)
-            ends[i] = std::max(ends[i], ends[before]);
+        for (const std::size_t dependency : stage.spec.after)
+            ends[i] = std::max(ends[i], ends[dependency]);
         ends[i] += stageTimes[i];
         longest = std::max(longest, ends[i]);
     }
@@ -84,27 +85,27 @@
 stage_work::takeReady(const std::vector<std::chrono::microseconds> &stageTimes)
 {
     std::vector<ready_piece> ready;
-    const auto toCome = timeToCome(stageTimes);
+    const auto remainingTime = remainingChainTime(stageTimes);
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         auto &stage = m_stages[i];
-        if (stage.taken || !inputsReady(stage))
+        if (stage.submitted || !inputsReady(stage))
             continue;
-        if (!stage.followed && toCome > stageTimes[i])
+        if (!stage.hasDependents && remainingTime > stageTimes[i])
             continue;
-        stage.taken = true;
+        stage.submitted = true;
         for (std::uint32_t piece = 0; piece < stage.handles.size(); ++piece) {
-            ready_piece made;
-            made.service = stage.spec.service;
-            made.request.attempt = m_attempt;
-            made.request.stage = i;
-            made.request.piece = piece;
+            ready_piece created;
+            created.service = stage.spec.service;
+            created.request.attempt = m_attempt;
+            created.request.stage = i;
+            created.request.piece = piece;
             if (stage.spec.after.empty())
-                made.request.key = m_key;
+                created.request.key = m_key;
             else {
-                made.request.inputs = inputsOf(stage);
-                made.inputBytes = inputBytesOf(stage);
+                created.request.inputs = inputsOf(stage);
+                created.inputBytes = inputBytesOf(stage);
             }
-            ready.push_back(std::move(made));
+            ready.push_back(std::move(created));
         }
     }
     return ready;
@@ -126,7 +127,7 @@
     for (auto &stage : m_stages) {
         std::ranges::fill(stage.handles, std::string{});
         stage.missing = static_cast<std::uint32_t>(stage.handles.size());
-        stage.taken = false;
+        stage.submitted = false;
         stage.spent = false;
         m_missing += stage.missing;
     }
@@ -136,7 +137,7 @@
 {
     std::vector<std::string> handles;
     for (const auto &stage : m_stages) {
-        if (!stage.followed)
+        if (!stage.hasDependents)
             handles.insert(handles.end(), stage.handles.begin(), stage.handles.end());
     }
     return handles;
@@ -158,7 +159,7 @@
 {
     std::optional<stage_results> best;
     for (const auto &stage : m_stages) {
-        if (stage.followed || stage.handles.empty() || stage.handles.front().empty())
+        if (stage.hasDependents || stage.handles.empty() || stage.handles.front().empty())
             continue;
         const std::uint64_t bytes = stage.spec.resultBytes * stage.handles.size();
         if (!best || bytes > best->bytes)
@@ -172,7 +173,7 @@
     std::vector<std::string> spent;
     for (std::size_t i = 0; i < m_stages.size(); ++i) {
         auto &stage = m_stages[i];
-        if (!stage.followed || stage.spent || stage.missing > 0)
+        if (!stage.hasDependents || stage.spent || stage.missing > 0)
             continue;
         const bool needed = std::ranges::any_of(m_stages, [&](const stage_state &other) {
             return other.missing > 0
--- a/src/gateway/stages/stage_work.h
+++ b/src/gateway/stages/stage_work.h
@@ -10,63 +10,65 @@
 
 namespace orchidlead::gateway {
 
-/// Follows the pieces of one request's stages: which can be asked for, and which have results.
+/// Tracks the progress of one request's stages: which pieces can be submitted, and which have
+/// results.
 class stage_work
 {
 public:
-    /// Nothing where the counts don't fit the route's stages.
-    [[nodiscard]] static std::optional<stage_work> create(const route &way,
+    /// Creates the state for a request; nothing if its piece counts don't match the route's stages
+    /// or are too high, or if a stage depends on one that doesn't exist.
+    [[nodiscard]] static std::optional<stage_work> create(const route &stagedRoute,
                                                           const request_marks &marks);
 
-    /// One piece that can be asked for, with its service.
+    /// A piece that can be submitted, with its service.
     struct ready_piece
     {
         service_id service;
-        std::uint64_t inputBytes = 0; ///< about, of all inputs
+        std::uint64_t inputBytes = 0; ///< approximate total of all inputs
         piece_request request;
     };
 
-    /// Takes the pieces whose inputs are there and that weren't taken before. `stageTimes`: how
-    /// long each stage takes, about. A stage that only the request itself waits for is left until
-    /// the stages still to come take no longer than it: its results would only occupy room
-    /// meanwhile.
+    /// Returns the pieces whose inputs are complete and that weren't returned before. `stageTimes`
+    /// holds the estimated duration of each stage. A stage without dependents is deferred until the
+    /// remaining stages take no longer than itself: until then its results would only occupy room.
     [[nodiscard]] std::vector<ready_piece>
     takeReady(const std::vector<std::chrono::microseconds> &stageTimes);
-    /// Takes a result; tells whether it was the last one that its stage lacked.
+    /// Records a result; returns whether it completes its stage.
     bool onResult(std::uint32_t stage, std::uint32_t piece, std::string handle);
-    /// Results were lost: all is to be done again.
+    /// Resets all stages after results were lost.
     void restart();
 
     [[nodiscard]] bool done() const { return m_missing == 0; }
-    /// Handles of the stages that no other stage follows: the inputs of the request itself.
+    /// Returns the handles of the stages without dependents, which are the inputs of the request
+    /// itself.
     [[nodiscard]] std::vector<std::string> inputs() const;
     [[nodiscard]] std::vector<std::string> allHandles() const;
-    /// A stage's results that the request itself needs.
+    /// Results of one stage that are inputs of the request itself.
     struct stage_results
     {
-        std::string handle; ///< of the first
-        std::uint64_t bytes = 0; ///< about, of all
+        std::string handle; ///< of the first result
+        std::uint64_t bytes = 0; ///< approximate total
     };
-    /// The largest of them, where there are any: the request runs best beside it.
+    /// Returns the largest of these results, if there are any: the request runs best near them.
     [[nodiscard]] std::optional<stage_results> largest() const;
-    /// Results that nobody needs any more once `stage` is whole: those of the stages before it
-    /// whose every follower is whole.
+    /// Returns the handles that are no longer needed and weren't returned before: the results of
+    /// stages all of whose dependents are complete.
     [[nodiscard]] std::vector<std::string> takeSpent();
 
 private:
     struct stage_state
     {
         stage_spec spec;
-        std::vector<std::string> handles; ///< empty text: not there yet
+        std::vector<std::string> handles; ///< empty while the result is missing
         std::uint32_t missing = 0;
-        bool taken = false;
-        bool spent = false; ///< its results were given up
-        bool followed = false; ///< another stage needs its results
+        bool submitted = false;
+        bool spent = false; ///< its results were returned by `takeSpent`
+        bool hasDependents = false; ///< another stage has its results as inputs
     };
 
-    /// The longest chain of stages that haven't been asked for and whose inputs aren't there.
+    /// Returns the duration of the longest chain of stages that are neither submitted nor ready.
     [[nodiscard]] std::chrono::microseconds
-    timeToCome(const std::vector<std::chrono::microseconds> &stageTimes) const;
+    remainingChainTime(const std::vector<std::chrono::microseconds> &stageTimes) const;
     [[nodiscard]] bool inputsReady(const stage_state &stage) const;
     [[nodiscard]] std::vector<std::string> inputsOf(const stage_state &stage) const;
     [[nodiscard]] std::uint64_t inputBytesOf(const stage_state &stage) const;
--- a/tests/gateway/decaying_rate_test.cpp
+++ b/tests/gateway/decaying_rate_test.cpp
@@ -5,7 +5,7 @@
 using namespace orchidlead;
 using namespace orchidlead::gateway;
 
-TEST_CASE("a steady rate is told within a few seconds")
+TEST_CASE("the estimate converges to a steady rate within a few seconds")
 {
     manual_clock clock;
     decaying_rate rate;
@@ -16,7 +16,7 @@
     CHECK(rate.perSecond(clock.now()) == Approx(40.0).epsilon(0.05));
 }
 
-TEST_CASE("what has ended is forgotten")
+TEST_CASE("the estimated rate decays after the events end")
 {
     manual_clock clock;
     decaying_rate rate;
--- a/tests/gateway/stage_pool_load_test.cpp
+++ b/tests/gateway/stage_pool_load_test.cpp
@@ -12,14 +12,14 @@
 using namespace orchidlead;
 using namespace orchidlead::gateway;
 
-/// Load patterns against one stage pool, without network and with a clock of their own. A call
-/// takes 200 ms and 21 ms a piece, 8 pieces at most: the slowest stage of the deployments served so
-/// far. Four servers do 87 pieces a second then.
+/// Load patterns on one stage pool, without network and with simulated time. A call takes 200 ms
+/// plus 21 ms per piece, for at most 8 pieces, as in the slowest stage of the deployments served so
+/// far. Four servers then process 87 pieces per second.
 namespace {
 
 constexpr milliseconds Step{5};
 constexpr stage_rank Urgent{0, 0};
-constexpr stage_rank Patient{0, 2};
+constexpr stage_rank NonUrgent{0, 2};
 
 stage_capacity makeCapacity()
 {
@@ -30,7 +30,7 @@
     return capacity;
 }
 
-/// Pieces of one rank that come each second.
+/// A Poisson stream of pieces of one rank.
 struct piece_stream
 {
     stage_rank rank;
@@ -38,15 +38,15 @@
     milliseconds aim{0};
 };
 
-/// What became of the pieces of a rank.
-struct tally
+/// Outcomes of the pieces of a rank.
+struct rank_counts
 {
-    int asked = 0;
+    int submitted = 0;
     int inTime = 0;
     int late = 0;
     std::vector<milliseconds> refusedAfter;
 
-    [[nodiscard]] double shareInTime() const { return static_cast<double>(inTime) / asked; }
+    [[nodiscard]] double shareInTime() const { return static_cast<double>(inTime) / submitted; }
     [[nodiscard]] milliseconds medianRefusal()
     {
         if (refusedAfter.empty())
@@ -56,7 +56,7 @@
     }
 };
 
-/// Plays streams of pieces against a pool.
+/// Runs streams of pieces against a pool.
 class pool_emulator
 {
 public:
@@ -72,22 +72,22 @@
         }
     }
 
-    void play(const std::vector<piece_stream> &streams, milliseconds span)
+    void run(const std::vector<piece_stream> &streams, milliseconds span)
     {
         for (const auto end = m_clock.now() + span; m_clock.now() < end;) {
             for (const auto &each : streams)
-                arrive(each);
-            turn();
+                submitArrivals(each);
+            step();
         }
     }
-    /// Lets what waits come to an end.
-    void finish() { play({}, milliseconds{10'000}); }
-    void loseServer() { m_servers.pop_back(); }
+    /// Runs without new pieces until all waiting ones have ended.
+    void finish() { run({}, milliseconds{10'000}); }
+    void removeServer() { m_servers.pop_back(); }
 
-    [[nodiscard]] tally &of(const stage_rank &rank) { return m_tallies[rank]; }
+    [[nodiscard]] rank_counts &of(const stage_rank &rank) { return m_rankCounts[rank]; }
 
 private:
-    struct asked_piece
+    struct submitted_piece
     {
         stage_rank rank;
         steady_time at;
@@ -99,7 +99,7 @@
         steady_time ends;
     };
 
-    void arrive(const piece_stream &stream)
+    void submitArrivals(const piece_stream &stream)
     {
         const double mean = stream.perSecond * std::chrono::duration<double>(Step).count();
         const int count = std::poisson_distribution<int>(mean)(m_random);
@@ -110,17 +110,17 @@
             job.rank = stream.rank;
             job.aim = m_clock.now() + stream.aim;
             job.deadline = job.aim + milliseconds{4000};
-            m_asked[job.token] = {job.rank, m_clock.now(), job.aim};
-            ++m_tallies[job.rank].asked;
+            m_submitted[job.token] = {job.rank, m_clock.now(), job.aim};
+            ++m_rankCounts[job.rank].submitted;
             m_pool.submit(std::move(job));
         }
     }
 
-    void turn()
+    void step()
     {
         for (const auto &each : m_pool.expire(m_servers.size()))
-            settle(each);
-        while (const auto call = m_pool.next(m_servers)) {
+            recordOutcome(each);
+        while (const auto call = m_pool.nextCall(m_servers)) {
             const auto work = makeCapacity().callTime
                 + makeCapacity().pieceTime * static_cast<int>(call->pieces.size());
             m_running.push_back({*call, m_clock.now() + work});
@@ -139,21 +139,21 @@
     {
         std::vector<piece_result> results(call.pieces.size(), piece_result{std::string("a/1")});
         for (const auto &each : m_pool.onEnd(call.id, stage_call_end::Answered, results))
-            settle(each);
+            recordOutcome(each);
     }
 
-    void settle(const piece_outcome &outcome)
+    void recordOutcome(const piece_outcome &outcome)
     {
-        const auto asked = m_asked.at(outcome.token);
-        m_asked.erase(outcome.token);
-        auto &tally = m_tallies[asked.rank];
+        const auto submitted = m_submitted.at(outcome.token);
+        m_submitted.erase(outcome.token);
+        auto &rank_counts = m_rankCounts[submitted.rank];
         if (std::holds_alternative<piece_failure>(outcome.result))
-            tally.refusedAfter.push_back(
-                std::chrono::duration_cast<milliseconds>(m_clock.now() - asked.at));
-        else if (m_clock.now() <= asked.aim)
-            ++tally.inTime;
+            rank_counts.refusedAfter.push_back(
+                std::chrono::duration_cast<milliseconds>(m_clock.now() - submitted.at));
+        else if (m_clock.now() <= submitted.aim)
+            ++rank_counts.inTime;
         else
-            ++tally.late;
+            ++rank_counts.late;
     }
 
     manual_clock m_clock;
@@ -162,68 +162,68 @@
     stage_pool m_pool{m_clock, service_id("s"), m_allowance};
     std::vector<server_ptr> m_servers;
     std::vector<running_call> m_running;
-    std::map<piece_token, asked_piece> m_asked;
-    std::map<stage_rank, tally> m_tallies;
+    std::map<piece_token, submitted_piece> m_submitted;
+    std::map<stage_rank, rank_counts> m_rankCounts;
     piece_token m_lastToken = 0;
 };
 
-/// A quarter of the pieces is urgent, the rest can wait: 87 a second at `load` 1.
-std::vector<piece_stream> mixed(double load)
+/// A quarter of the pieces is urgent. At `load` 1, 87 pieces per second are submitted.
+std::vector<piece_stream> mixedLoad(double load)
 {
-    return {{Urgent, 22 * load, milliseconds{900}}, {Patient, 65 * load, milliseconds{1600}}};
+    return {{Urgent, 22 * load, milliseconds{900}}, {NonUrgent, 65 * load, milliseconds{1600}}};
 }
 
 } // namespace
 
-TEST_CASE("below its capacity a pool does nearly all pieces in time")
+TEST_CASE("below its capacity a pool completes nearly all pieces in time")
 {
     for (const unsigned seed : {1U, 2U, 3U}) {
         pool_emulator emulator(4, seed);
-        emulator.play(mixed(0.8), milliseconds{20'000});
+        emulator.run(mixedLoad(0.8), milliseconds{20'000});
         emulator.finish();
         INFO("seed " << seed);
         CHECK(emulator.of(Urgent).shareInTime() > 0.99);
-        CHECK(emulator.of(Patient).shareInTime() > 0.97);
+        CHECK(emulator.of(NonUrgent).shareInTime() > 0.97);
     }
 }
 
-TEST_CASE("in a burst beyond a pool's capacity the urgent are served and the others share the rest")
+TEST_CASE("in an overload burst urgent pieces are served first and others share the rest")
 {
     for (const unsigned seed : {1U, 2U, 3U}) {
         pool_emulator emulator(4, seed);
-        emulator.play(mixed(1.8), milliseconds{8000});
+        emulator.run(mixedLoad(1.8), milliseconds{8000});
         emulator.finish();
         INFO("seed " << seed);
         CHECK(emulator.of(Urgent).shareInTime() > 0.99);
-        // 87 pieces a second less 40 urgent ones leave 47 for 117.
-        CHECK(emulator.of(Patient).shareInTime() > 0.35);
-        // What is refused is told within a call, not when its aim has passed.
-        CHECK(emulator.of(Patient).medianRefusal() <= milliseconds{368});
+        // 87 pieces per second less 40 urgent ones leave 47 for 117 others.
+        CHECK(emulator.of(NonUrgent).shareInTime() > 0.35);
+        // Refusals are reported within the duration of a call, not after the aim has passed.
+        CHECK(emulator.of(NonUrgent).medianRefusal() <= milliseconds{368});
     }
 }
 
-TEST_CASE("when a server is lost in a burst the urgent don't notice")
+TEST_CASE("losing a server in a burst doesn't delay urgent pieces")
 {
     for (const unsigned seed : {1U, 2U, 3U}) {
         pool_emulator emulator(4, seed);
-        emulator.play(mixed(1.3), milliseconds{3000});
-        emulator.loseServer();
-        emulator.play(mixed(1.3), milliseconds{5000});
+        emulator.run(mixedLoad(1.3), milliseconds{3000});
+        emulator.removeServer();
+        emulator.run(mixedLoad(1.3), milliseconds{5000});
         emulator.finish();
         INFO("seed " << seed);
         CHECK(emulator.of(Urgent).shareInTime() > 0.98);
-        CHECK(emulator.of(Patient).shareInTime() > 0.4);
-        CHECK(emulator.of(Patient).medianRefusal() <= milliseconds{368});
+        CHECK(emulator.of(NonUrgent).shareInTime() > 0.4);
+        CHECK(emulator.of(NonUrgent).medianRefusal() <= milliseconds{368});
     }
 }
 
-TEST_CASE("after a burst a pool is back within a few calls")
+TEST_CASE("a pool recovers from a burst within a few calls")
 {
     pool_emulator emulator(4, 1);
-    emulator.play(mixed(2.5), milliseconds{4000});
-    emulator.play({}, milliseconds{1000});
-    emulator.of(Patient) = {};
-    emulator.play(mixed(0.7), milliseconds{10'000});
+    emulator.run(mixedLoad(2.5), milliseconds{4000});
+    emulator.run({}, milliseconds{1000});
+    emulator.of(NonUrgent) = {};
+    emulator.run(mixedLoad(0.7), milliseconds{10'000});
     emulator.finish();
-    CHECK(emulator.of(Patient).shareInTime() > 0.97);
+    CHECK(emulator.of(NonUrgent).shareInTime() > 0.97);
 }
--- a/tests/gateway/stage_pool_test.cpp
+++ b/tests/gateway/stage_pool_test.cpp
@@ -24,7 +24,7 @@
     return capacity;
 }
 
-struct world
+struct pool_fixture
 {
     manual_clock clock;
     retry_allowance allowance{clock, {0.0, 1000.0, milliseconds{10'000}}};
@@ -32,7 +32,7 @@
     std::vector<server_ptr> servers;
     piece_token lastToken = 0;
 
-    explicit world(std::size_t count = 1)
+    explicit pool_fixture(std::size_t count = 1)
     {
         pool.setCapacity(makeCapacity());
         for (std::size_t i = 0; i < count; ++i) {
@@ -56,7 +56,7 @@
         pool.submit(job);
         return job.token;
     }
-    /// Ends a call with a handle for each piece.
+    /// Ends a call with a result handle for each piece.
     std::vector<piece_outcome> answer(const stage_call &call)
     {
         std::vector<piece_result> results;
@@ -80,36 +80,36 @@
 
 } // namespace
 
-TEST_CASE("pieces that come while all servers are busy share the next call")
+TEST_CASE("pieces submitted while all servers are busy share the next call")
 {
-    world w;
+    pool_fixture w;
     w.submit("r1", 0, milliseconds{2000});
-    const auto first = w.pool.next(w.servers);
+    const auto first = w.pool.nextCall(w.servers);
     REQUIRE(first);
     w.submit("r2", 0, milliseconds{2000});
     w.submit("r3", 0, milliseconds{2000});
-    CHECK_FALSE(w.pool.next(w.servers));
+    CHECK_FALSE(w.pool.nextCall(w.servers));
     CHECK(w.answer(*first).size() == 1);
-    const auto second = w.pool.next(w.servers);
+    const auto second = w.pool.nextCall(w.servers);
     REQUIRE(second);
     CHECK(requestsOf(*second) == std::vector<std::string>{"r2", "r3"});
 }
 
-TEST_CASE("more urgent pieces go first, then those that are due sooner, late ones last")
+TEST_CASE("pieces are ordered by priority, then by target time, with late ones last")
 {
-    world w;
+    pool_fixture w;
     w.submit("late", 0, milliseconds{100}, 0);
     w.submit("later", 0, milliseconds{3000});
     w.submit("sooner", 0, milliseconds{2000});
     w.submit("urgent", 0, milliseconds{4000}, 0);
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     REQUIRE(call);
     CHECK(requestsOf(*call) == std::vector<std::string>{"urgent", "sooner", "later", "late"});
 }
 
-TEST_CASE("equal priorities are decided by the route's")
+TEST_CASE("pieces of equal priority are ordered by route priority")
 {
-    world w;
+    pool_fixture w;
     w.submit("minor", 0, milliseconds{1000});
     piece_job major;
     major.token = 99;
@@ -125,117 +125,117 @@
     minor.aim = w.clock.now() + milliseconds{900};
     w.pool.submit(minor);
     w.pool.submit(major);
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     REQUIRE(call);
     CHECK(requestsOf(*call).back() == "third");
 }
 
-TEST_CASE("the pieces of one request aren't split while they can still go together")
+TEST_CASE("the pieces of one request aren't split while they can wait for a common call")
 {
-    world w;
+    pool_fixture w;
     w.submit("r1", 0, milliseconds{1000});
     w.submit("r1", 1, milliseconds{1000});
     w.submit("r1", 2, milliseconds{1000});
     for (std::uint32_t i = 0; i < 3; ++i)
         w.submit("r2", i, milliseconds{2000});
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     REQUIRE(call);
     CHECK(requestsOf(*call) == std::vector<std::string>{"r1", "r1", "r1"});
 }
 
-TEST_CASE("a request that has waited long goes in parts")
+TEST_CASE("the pieces of a request are split after the maximum group wait")
 {
-    world w;
+    pool_fixture w;
     for (std::uint32_t i = 0; i < 3; ++i)
         w.submit("r1", i, milliseconds{1000});
     for (std::uint32_t i = 0; i < 3; ++i)
         w.submit("r2", i, milliseconds{2000});
     w.clock.advance(milliseconds{400});
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     REQUIRE(call);
     CHECK(requestsOf(*call) == std::vector<std::string>{"r1", "r1", "r1", "r2"});
 }
 
-TEST_CASE("no call is made for results that have no room, until room is freed")
+TEST_CASE("no call is made without room for its results until results are freed")
 {
-    world w;
+    pool_fixture w;
     for (std::uint32_t i = 0; i < 4; ++i)
         w.submit("r1", i, milliseconds{2000});
-    const auto first = w.pool.next(w.servers);
+    const auto first = w.pool.nextCall(w.servers);
     const auto outcomes = w.answer(*first);
     for (std::uint32_t i = 0; i < 3; ++i)
         w.submit("r2", i, milliseconds{2000});
-    CHECK_FALSE(w.pool.next(w.servers));
+    CHECK_FALSE(w.pool.nextCall(w.servers));
     w.pool.onFreed(std::get<std::string>(outcomes[0].result));
-    const auto second = w.pool.next(w.servers);
+    const auto second = w.pool.nextCall(w.servers);
     REQUIRE(second);
     CHECK(second->pieces.size() == 3);
 }
 
-TEST_CASE("results that nobody frees lapse")
+TEST_CASE("results that aren't freed expire")
 {
-    world w;
+    pool_fixture w;
     for (std::uint32_t i = 0; i < 4; ++i)
         w.submit("r1", i, milliseconds{2000});
-    (void)w.answer(*w.pool.next(w.servers));
+    (void)w.answer(*w.pool.nextCall(w.servers));
     for (std::uint32_t i = 0; i < 4; ++i)
         w.submit("r2", i, milliseconds{9000});
-    CHECK_FALSE(w.pool.next(w.servers));
+    CHECK_FALSE(w.pool.nextCall(w.servers));
     w.clock.advance(milliseconds{4100});
-    CHECK(w.pool.next(w.servers));
-    CHECK(w.pool.heldAt({backend_server_id("s0"), {}}) == 4 * PieceBytes);
+    CHECK(w.pool.nextCall(w.servers));
+    CHECK(w.pool.heldBytesAt({backend_server_id("s0"), {}}) == 4 * PieceBytes);
 }
 
-TEST_CASE("pieces of a call that wasn't run wait on, and the server is left alone for a moment")
+TEST_CASE("pieces of a refused call wait again, and the server is paused")
 {
-    world w(2);
+    pool_fixture w(2);
     w.submit("r1", 0, milliseconds{2000});
-    const auto first = w.pool.next(w.servers);
+    const auto first = w.pool.nextCall(w.servers);
     CHECK(w.pool.onEnd(first->id, stage_call_end::NotRun, {}).empty());
-    const auto second = w.pool.next(w.servers);
+    const auto second = w.pool.nextCall(w.servers);
     REQUIRE(second);
     CHECK(second->server != first->server);
-    CHECK(w.pool.heldAt(first->server->record.start()) == 0);
+    CHECK(w.pool.heldBytesAt(first->server->record.start()) == 0);
 }
 
-TEST_CASE("a piece without room is tried again, one whose input is gone isn't")
+TEST_CASE("a piece is retried after missing room but not after a lost input")
 {
-    world w;
+    pool_fixture w;
     w.submit("r1", 0, milliseconds{2000});
-    CHECK(w.fail(*w.pool.next(w.servers), piece_failure::NoRoom).empty());
+    CHECK(w.fail(*w.pool.nextCall(w.servers), piece_failure::NoRoom).empty());
     REQUIRE(w.pool.wakeAt());
     w.clock.advance(milliseconds{200});
-    const auto outcomes = w.fail(*w.pool.next(w.servers), piece_failure::InputGone);
+    const auto outcomes = w.fail(*w.pool.nextCall(w.servers), piece_failure::InputGone);
     REQUIRE(outcomes.size() == 1);
     CHECK(std::get<piece_failure>(outcomes[0].result) == piece_failure::InputGone);
 }
 
-TEST_CASE("where second tries are used up, a failed piece is given back")
+TEST_CASE("a failed piece is reported when the retry allowance is used up")
 {
-    world w;
+    pool_fixture w;
     while (w.allowance.tryTake(service_id("s")))
         ;
     w.submit("r1", 0, milliseconds{2000});
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     const auto outcomes = w.pool.onEnd(call->id, stage_call_end::Broken, {});
     REQUIRE(outcomes.size() == 1);
     CHECK(std::get<piece_failure>(outcomes[0].result) == piece_failure::Error);
 }
 
-TEST_CASE("calls that no server got cost no second try")
+TEST_CASE("a call that wasn't sent is retried without using the retry allowance")
 {
-    world w;
+    pool_fixture w;
     while (w.allowance.tryTake(service_id("s")))
         ;
     w.submit("r1", 0, milliseconds{2000});
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     CHECK(w.pool.onEnd(call->id, stage_call_end::NotSent, {}).empty());
     CHECK(w.pool.waiting() == 1);
 }
 
-TEST_CASE("late pieces are given up while others keep all servers busy, and stay otherwise")
+TEST_CASE("late pieces are dropped only while pieces in time keep all servers busy")
 {
-    world w;
+    pool_fixture w;
     w.submit("late", 0, milliseconds{50});
     CHECK(w.pool.expire(1).empty());
     for (std::uint32_t i = 0; i < 5; ++i)
@@ -245,11 +245,11 @@
     CHECK(std::get<piece_failure>(outcomes[0].result) == piece_failure::Late);
 }
 
-TEST_CASE("a piece that was withdrawn has no outcome but its result can be told")
+TEST_CASE("the result of a withdrawn piece is returned without a token")
 {
-    world w;
+    pool_fixture w;
     const auto token = w.submit("r1", 0, milliseconds{2000});
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     w.pool.withdraw(token);
     const auto outcomes = w.answer(*call);
     REQUIRE(outcomes.size() == 1);
@@ -257,9 +257,9 @@
     CHECK(std::holds_alternative<std::string>(outcomes[0].result));
 }
 
-TEST_CASE("pieces go to a server where their inputs lie")
+TEST_CASE("pieces prefer a server in the data centre of their inputs")
 {
-    world w(2);
+    pool_fixture w(2);
     piece_job job;
     job.token = 1;
     job.request.attempt = "r1";
@@ -267,14 +267,14 @@
     job.deadline = job.aim;
     job.near = data_center_id("b");
     w.pool.submit(job);
-    CHECK(w.pool.next(w.servers)->server->record.id.value == "s1");
+    CHECK(w.pool.nextCall(w.servers)->server->record.id.value == "s1");
 }
 
-TEST_CASE("what was done is summed up once")
+TEST_CASE("the summary covers only the activity since the last one")
 {
-    world w;
+    pool_fixture w;
     w.submit("r1", 0, milliseconds{2000});
-    (void)w.pool.next(w.servers);
+    (void)w.pool.nextCall(w.servers);
     const auto summary = w.pool.takeSummary();
     CHECK(summary.calls == 1);
     CHECK(summary.ranks.at(1).pieces == 1);
@@ -283,8 +283,8 @@
 
 namespace {
 
-/// Moves on with each look at it, as a real clock may.
-class running_clock final : public clock_source
+/// Advances with each reading, as a real clock may.
+class advancing_clock final : public clock_source
 {
 public:
     [[nodiscard]] steady_time now() const override
@@ -300,17 +300,17 @@
 
 } // namespace
 
-TEST_CASE("pieces keep one order though one becomes late while they are sorted")
+TEST_CASE("sorting keeps a consistent order when a piece becomes late meanwhile")
 {
-    const running_clock clock;
+    const advancing_clock clock;
     retry_allowance allowance(clock, {0.0, 1000.0, milliseconds{10'000}});
     const auto only = std::make_shared<server>();
     only->record.id = backend_server_id("s0");
     stage_capacity capacity = makeCapacity();
     capacity.batch = 100;
     capacity.roomBytes = 0;
-    // The most urgent piece stands first and becomes late at another moment of the sort each time;
-    // the last one belongs just behind it.
+    // The first piece is the most urgent, and becomes late at a different time of the sort in each
+    // iteration. The last piece belongs directly behind it.
     constexpr std::array<std::uint32_t, 7> Priorities{0, 5, 5, 5, 5, 5, 1};
     constexpr int Moments = 150;
     for (int moment = 0; moment < Moments; ++moment) {
@@ -328,15 +328,15 @@
             job.deadline = begin + std::chrono::seconds{5};
             pool.submit(job);
         }
-        const auto call = pool.next({only});
+        const auto call = pool.nextCall({only});
         REQUIRE(call);
         CHECK(call->pieces.size() == Priorities.size());
     }
 }
 
-TEST_CASE("a piece with much to fetch waits for a server beside its inputs while its aim allows")
+TEST_CASE("a piece with large inputs waits for a server near them while its aim allows")
 {
-    world w(2);
+    pool_fixture w(2);
     milliseconds aim{3000};
     const auto submitAt = [&](const std::string &request, std::uint64_t inputBytes) {
         piece_job job;
@@ -349,69 +349,69 @@
         w.pool.submit(job);
     };
     submitAt("first", 1'000'000);
-    const auto busy = w.pool.next(w.servers);
+    const auto busy = w.pool.nextCall(w.servers);
     REQUIRE(busy);
     REQUIRE(busy->server->record.dataCenter.value == "b");
 
     submitAt("large", 1'000'000);
-    CHECK_FALSE(w.pool.next(w.servers));
+    CHECK_FALSE(w.pool.nextCall(w.servers));
     const auto wake = w.pool.wakeAt();
     REQUIRE(wake);
     CHECK(*wake - w.clock.now() == milliseconds{700});
 
-    SECTION("and takes it when it is free")
+    SECTION("and goes to that server when it becomes idle")
     {
         w.clock.advance(milliseconds{50});
         w.answer(*busy);
-        const auto call = w.pool.next(w.servers);
+        const auto call = w.pool.nextCall(w.servers);
         REQUIRE(call);
         CHECK(call->server->record.dataCenter.value == "b");
     }
-    SECTION("and goes elsewhere when it has waited")
+    SECTION("and goes to another data centre after the maximum wait")
     {
         w.clock.advance(milliseconds{700});
-        const auto call = w.pool.next(w.servers);
+        const auto call = w.pool.nextCall(w.servers);
         REQUIRE(call);
         CHECK(call->server->record.dataCenter.value == "a");
     }
-    SECTION("and goes elsewhere when a full call ends just in time for its aim")
+    SECTION("and goes to another data centre when a full call would just meet its aim")
     {
         const auto fullCall = makeCapacity().callTime
             + makeCapacity().pieceTime * static_cast<int>(makeCapacity().batch);
         aim = std::chrono::duration_cast<milliseconds>(fullCall) + milliseconds{30};
         submitAt("due", 1'000'000);
-        CHECK_FALSE(w.pool.next(w.servers));
+        CHECK_FALSE(w.pool.nextCall(w.servers));
         w.clock.advance(milliseconds{30});
-        const auto call = w.pool.next(w.servers);
+        const auto call = w.pool.nextCall(w.servers);
         REQUIRE(call);
         CHECK(requestsOf(*call) == std::vector<std::string>{"due"});
     }
-    SECTION("but not where little is to be fetched")
+    SECTION("but doesn't wait if its inputs are small")
     {
         submitAt("small", 1000);
-        const auto call = w.pool.next(w.servers);
+        const auto call = w.pool.nextCall(w.servers);
         REQUIRE(call);
         CHECK(requestsOf(*call) == std::vector<std::string>{"small"});
     }
-    SECTION("nor where there is no server at all")
+    SECTION("and doesn't wait if that data centre has no server")
     {
         w.servers.pop_back();
-        CHECK(w.pool.next(w.servers));
+        CHECK(w.pool.nextCall(w.servers));
     }
-    SECTION("nor where more waits than the servers take at once")
+    SECTION("and doesn't wait if more pieces wait than the servers take at once")
     {
         const auto round = w.servers.size() * makeCapacity().batch;
         while (w.pool.waiting() < round)
             submitAt("r" + std::to_string(w.pool.waiting()), 1'000'000);
-        CHECK_FALSE(w.pool.next(w.servers));
+        CHECK_FALSE(w.pool.nextCall(w.servers));
         submitAt("more", 1'000'000);
-        CHECK(w.pool.next(w.servers));
+        CHECK(w.pool.nextCall(w.servers));
     }
 }
 
-TEST_CASE("a first piece that the queue before it makes late is dropped at once in a crowd")
+TEST_CASE("a new piece that the queue makes late is dropped at once under overload")
 {
-    world w;
+    pool_fixture w;
     const auto fullCall = milliseconds{200} + 4 * milliseconds{10};
     for (int i = 0; i < 8; ++i)
         w.submit("ahead" + std::to_string(i), 0, milliseconds{5000}, 0);
@@ -423,12 +423,12 @@
     CHECK(served != hopeless);
 }
 
-TEST_CASE("a piece of a later stage is dropped for the queue before it, with nothing to spare")
+TEST_CASE("a later-stage piece is dropped when the queue makes it late, but needs no spare time")
 {
-    // Eight urgent pieces take 0.63 s beside those that keep coming; a new piece needs half a call,
-    // 0.12 s, more than that and its own call.
+    // Eight urgent pieces take 0.63 s, including the expected arrivals of more. A new piece must
+    // have half a call, 0.12 s, to spare beside that and its own call.
     const auto isDropped = [](milliseconds aim, std::vector<std::string> inputs) {
-        world w;
+        pool_fixture w;
         for (int i = 0; i < 8; ++i)
             w.submit("ahead" + std::to_string(i), 0, milliseconds{5000}, 0);
         piece_job job;
@@ -446,104 +446,105 @@
     CHECK_FALSE(isDropped(milliseconds{1000}, {}));
 }
 
-TEST_CASE("the wait of a rank counts what goes before it, and not what is late")
+TEST_CASE("the expected wait of a rank counts preceding pieces but not late ones")
 {
-    world w;
+    pool_fixture w;
     w.submit("late", 0, milliseconds{100}, 0);
     for (int i = 0; i < 8; ++i)
         w.submit("r" + std::to_string(i), 0, milliseconds{60'000}, 1);
     w.clock.advance(milliseconds{30'000});
-    CHECK(w.pool.waitOf({0, 0}, 1) == milliseconds{0});
-    CHECK(w.pool.waitOf({1, 0}, 1) == milliseconds{480});
-    // A server that may do a quarter of the calls that it could.
-    CHECK(w.pool.waitOf({1, 0}, 0.25) == milliseconds{1920});
-    CHECK(w.pool.waitOf({2, 0}, 2) == milliseconds{240});
+    CHECK(w.pool.expectedWait({0, 0}, 1) == milliseconds{0});
+    CHECK(w.pool.expectedWait({1, 0}, 1) == milliseconds{480});
+    // A server that is limited to a quarter of its possible calls.
+    CHECK(w.pool.expectedWait({1, 0}, 0.25) == milliseconds{1920});
+    CHECK(w.pool.expectedWait({2, 0}, 2) == milliseconds{240});
 }
 
-TEST_CASE("more urgent pieces that keep coming lengthen the wait of the others")
+TEST_CASE("arrivals of more urgent pieces increase the expected wait of other ranks")
 {
-    world w;
+    pool_fixture w;
     for (int i = 0; i < 8; ++i)
         w.submit("r" + std::to_string(i), 0, milliseconds{60'000}, 1);
     w.clock.advance(milliseconds{30'000});
     for (int i = 0; i < 8; ++i)
         (void)w.submit("urgent" + std::to_string(i), 0, milliseconds{100}, 0);
-    CHECK(w.pool.waitOf({1, 0}, 1) > milliseconds{480});
-    CHECK(w.pool.waitOf({0, 0}, 1) == milliseconds{0});
+    CHECK(w.pool.expectedWait({1, 0}, 1) > milliseconds{480});
+    CHECK(w.pool.expectedWait({0, 0}, 1) == milliseconds{0});
 }
 
-TEST_CASE("stage_pool: a piece under which servers may have ended isn't tried again")
+TEST_CASE("stage_pool: a piece that may have crashed servers isn't retried")
 {
-    world w(2);
+    pool_fixture w(2);
     const auto crashing = requestDigestOf({customer_id("c"), "h", "/p", "crash"});
-    w.pool.setMayRepeat([&](const request_digest &request) { return request != crashing; });
+    w.pool.setMayRetry([&](const request_digest &request) { return request != crashing; });
     piece_job job;
     job.token = 7;
     job.request.digest = crashing;
     job.deadline = w.clock.now() + milliseconds{5000};
     w.pool.submit(job);
-    const auto call = w.pool.next(w.servers);
+    const auto call = w.pool.nextCall(w.servers);
     REQUIRE(call);
-    SECTION("where the connection broke off")
+    SECTION("after its connection broke")
     {
         const auto outcomes = w.pool.onEnd(call->id, stage_call_end::Broken, {});
         REQUIRE(outcomes.size() == 1);
         CHECK(std::get<piece_failure>(outcomes.front().result) == piece_failure::Error);
         CHECK(w.pool.waiting() == 0);
     }
-    SECTION("but is where no server got it")
+    SECTION("except after a call that wasn't sent")
     {
         CHECK(w.pool.onEnd(call->id, stage_call_end::NotSent, {}).empty());
         CHECK(w.pool.waiting() == 1);
     }
 }
 
-// The pattern: servers of a data centre that is cut off refuse connections at once.
-TEST_CASE("stage_pool: a piece that may move is given up where servers can't be reached")
+// Guards against pieces staying in a pool whose data centre is cut off. Its servers refuse
+// connections at once.
+TEST_CASE("stage_pool: a piece that may change pools fails if servers are unreachable")
 {
-    world w(3);
+    pool_fixture w(3);
     piece_job job;
     job.token = 7;
     job.deadline = w.clock.now() + milliseconds{5000};
-    job.mayMove = true;
-    const auto miss = [&] {
-        return w.pool.onEnd(w.pool.next(w.servers)->id, stage_call_end::NotSent, {});
+    job.mayChangePool = true;
+    const auto failToSend = [&] {
+        return w.pool.onEnd(w.pool.nextCall(w.servers)->id, stage_call_end::NotSent, {});
     };
     w.pool.submit(job);
-    SECTION("by the second of many")
+    SECTION("after the second unreachable server")
     {
-        CHECK(miss().empty());
-        const auto outcomes = miss();
+        CHECK(failToSend().empty());
+        const auto outcomes = failToSend();
         REQUIRE(outcomes.size() == 1);
         CHECK(std::get<piece_failure>(outcomes.front().result) == piece_failure::Unreached);
     }
-    SECTION("at once while all of them pause, and not afterwards")
+    SECTION("at once while all servers are paused, but not afterwards")
     {
         w.servers.resize(1);
-        CHECK(miss().empty());
-        REQUIRE_FALSE(w.pool.next(w.servers));
-        CHECK(w.pool.giveUpUnreached(w.servers).size() == 1);
+        CHECK(failToSend().empty());
+        REQUIRE_FALSE(w.pool.nextCall(w.servers));
+        CHECK(w.pool.failUnreached(w.servers).size() == 1);
         w.clock.advance(milliseconds{5000});
         w.pool.submit(job);
-        CHECK(w.pool.giveUpUnreached(w.servers).empty());
-        CHECK(w.pool.next(w.servers));
+        CHECK(w.pool.failUnreached(w.servers).empty());
+        CHECK(w.pool.nextCall(w.servers));
     }
-    SECTION("but waits while one of them merely works")
+    SECTION("but waits while a server is only busy")
     {
         w.servers.resize(1);
         piece_job first = job;
         first.token = 6;
         w.pool.submit(first);
-        REQUIRE(w.pool.next(w.servers));
-        CHECK(w.pool.giveUpUnreached(w.servers).empty());
+        REQUIRE(w.pool.nextCall(w.servers));
+        CHECK(w.pool.failUnreached(w.servers).empty());
     }
-    SECTION("but waits where it may not move")
+    SECTION("but waits if it may not change pools")
     {
         w.pool.withdraw(job.token);
-        job.mayMove = false;
+        job.mayChangePool = false;
         w.pool.submit(job);
-        CHECK(miss().empty());
-        CHECK(miss().empty());
-        CHECK(w.pool.giveUpUnreached(w.servers).empty());
+        CHECK(failToSend().empty());
+        CHECK(failToSend().empty());
+        CHECK(w.pool.failUnreached(w.servers).empty());
     }
 }
--- a/tests/gateway/stage_work_test.cpp
+++ b/tests/gateway/stage_work_test.cpp
@@ -14,13 +14,13 @@
     return {service_id(service), std::move(after), bytes};
 }
 
-/// Two stages in a row beside one that stands alone.
+/// Two consecutive stages, and an independent one.
 route makeRoute()
 {
-    route way;
-    way.stages = {makeStage("big", {}, 1000), makeStage("first", {}, 10),
-                  makeStage("second", {1}, 20)};
-    return way;
+    route stagedRoute;
+    stagedRoute.stages = {makeStage("big", {}, 1000), makeStage("first", {}, 10),
+                          makeStage("second", {1}, 20)};
+    return stagedRoute;
 }
 
 request_marks makeMarks(std::vector<std::uint32_t> counts)
@@ -32,7 +32,7 @@
     return marks;
 }
 
-/// Stages that take no time: none is left until later.
+/// Stage times of zero, with which no stage is deferred.
 const std::vector<std::chrono::microseconds> NoTime(4, std::chrono::microseconds{0});
 
 std::vector<std::chrono::microseconds> makeTimes(std::vector<int> milliseconds)
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("pieces without inputs are ready first, with the key; others when all inputs are there")
+TEST_CASE("pieces without inputs are ready first with the key, others once inputs are complete")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({1, 2, 1}));
     REQUIRE(work);
@@ -63,7 +63,7 @@
     CHECK(next[0].request.key.empty());
 }
 
-TEST_CASE("the request's inputs are the results of the stages that no other follows")
+TEST_CASE("the request's inputs are the results of the stages without dependents")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({1, 1, 1}));
     (void)work->takeReady(NoTime);
@@ -78,7 +78,7 @@
     CHECK(work->largest()->bytes == 1000);
 }
 
-TEST_CASE("results are spent as soon as every stage that needs them is whole")
+TEST_CASE("results are no longer needed once every dependent stage is complete")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({1, 1, 1}));
     (void)work->takeReady(NoTime);
@@ -90,7 +90,7 @@
     CHECK(work->allHandles() == std::vector<std::string>{"s/0"});
 }
 
-TEST_CASE("a stage without pieces is left out")
+TEST_CASE("stages without pieces are done from the start")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({0, 0, 0}));
     REQUIRE(work);
@@ -98,16 +98,16 @@
     CHECK(work->inputs().empty());
 }
 
-TEST_CASE("counts that don't fit the route's stages are refused")
+TEST_CASE("piece counts or dependencies that don't match the route's stages are rejected")
 {
     CHECK_FALSE(stage_work::create(makeRoute(), makeMarks({1, 1})));
     CHECK_FALSE(stage_work::create(makeRoute(), makeMarks({1, 1, 4'000'000'000})));
-    auto way = makeRoute();
-    way.stages[2].after = {9};
-    CHECK_FALSE(stage_work::create(way, makeMarks({1, 1, 1})));
+    auto stagedRoute = makeRoute();
+    stagedRoute.stages[2].after = {9};
+    CHECK_FALSE(stage_work::create(stagedRoute, makeMarks({1, 1, 1})));
 }
 
-TEST_CASE("after a loss all pieces are asked for again")
+TEST_CASE("after a restart all pieces are submitted again")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({0, 1, 1}));
     (void)work->takeReady(NoTime);
@@ -118,7 +118,7 @@
     CHECK(work->allHandles().empty());
 }
 
-TEST_CASE("a stage that only the request needs is left until what is to come takes no longer")
+TEST_CASE("a stage without dependents is deferred until the remaining stages take no longer")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({2, 1, 1}));
     const auto times = makeTimes({300, 100, 400});
@@ -132,13 +132,13 @@
     CHECK(rest[2].service.value == "second");
 }
 
-TEST_CASE("a stage that takes longer than all that is to come begins at once")
+TEST_CASE("a stage that takes longer than the remaining stages starts at once")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({1, 1, 1}));
     CHECK(work->takeReady(makeTimes({500, 100, 400})).size() == 2);
 }
 
-TEST_CASE("a stage that is left out isn't waited for")
+TEST_CASE("a stage without pieces doesn't defer others")
 {
     auto work = stage_work::create(makeRoute(), makeMarks({1, 1, 0}));
     CHECK(work->takeReady(makeTimes({300, 100, 400})).size() == 2);
--- a/tests/platform/loaded_fleet.cpp
+++ b/tests/platform/loaded_fleet.cpp
@@ -17,7 +17,7 @@
 {
     for (const auto *name : FleetNodes)
         startGateway(name);
-    runFor(milliseconds{1200}); // they find each other
+    runFor(milliseconds{1200}); // the nodes discover each other
 }
 
 fake_server &loaded_fleet::addNoting(const std::string &service, const std::string &id,
@@ -45,7 +45,8 @@
                            + "\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"));
         return;
     }
-    loop.callAfter(ServerWork, [this, id, request, answer] { answerTo(id, request, answer); });
+    loop.callAfter(ServerResponseTime,
+                   [this, id, request, answer] { answerTo(id, request, answer); });
 }
 
 void loaded_fleet::answerTo(const std::string &id, const server_request &request,
@@ -83,7 +84,7 @@
 {
     std::string next;
     do
-        next = FleetNodes[++m_turn % FleetNodes.size()];
+        next = FleetNodes[++m_nextNode % FleetNodes.size()];
     while (idleNodes.contains(next));
     sendTo(next, path, pieceCounts);
 }
@@ -108,8 +109,8 @@
     const auto end = clock.now() + time;
     while (clock.now() < end) {
         send(path, pieceCounts);
-        runFor(RequestGap);
-        noteEnds();
+        runFor(RequestInterval);
+        recordEnds();
     }
     awaitAll();
 }
@@ -117,13 +118,13 @@
 void loaded_fleet::awaitAll()
 {
     REQUIRE(runUntil([&] {
-        noteEnds();
+        recordEnds();
         return std::ranges::all_of(requests,
                                    [](const asked &each) { return each.endedAt.has_value(); });
     }));
 }
 
-void loaded_fleet::noteEnds()
+void loaded_fleet::recordEnds()
 {
     for (auto &each : requests) {
         if (!each.endedAt && each.answer->ended)
--- a/tests/platform/loaded_fleet.h
+++ b/tests/platform/loaded_fleet.h
@@ -11,15 +11,14 @@
 #include <string>
 #include <vector>
 
-/// Four nodes under a steady load, before servers that say something of themselves in their
-/// answers.
+/// Four nodes under a steady load, with servers that can add signal fields to their answers.
 namespace orchidlead::platform_world {
 
-/// How long an answer takes.
-inline constexpr milliseconds ServerWork{50};
-/// Between two requests of all clients together.
-inline constexpr milliseconds RequestGap{25};
-/// A refusal of what can't be served comes within this: nothing is waited for.
+/// How long a server takes to answer.
+inline constexpr milliseconds ServerResponseTime{50};
+/// Interval between requests, over all clients.
+inline constexpr milliseconds RequestInterval{25};
+/// Time within which a request that can't be served must be refused, without waiting for anything.
 inline constexpr milliseconds AtOnce{200};
 
 inline constexpr std::array FleetNodes{"g1", "g2", "g3", "g4"};
@@ -33,40 +32,41 @@
         steady_time at;
         std::optional<steady_time> endedAt;
     };
-    /// A request, a stage call or a free that reached a server.
+    /// A request, stage call or free request that reached a server.
     struct arrival
     {
         steady_time at;
-        std::string node; ///< that sent it; empty: the host of a stage pool
-        steady_time clientSentAt; ///< of a client's request
+        std::string node; ///< sender of a client's request; empty for stage calls and frees
+        steady_time clientSentAt; ///< when the client sent the request
         std::string target;
     };
 
     explicit loaded_fleet(const std::string &routes, const std::string &services = {});
 
     void startNodes();
-    /// Adds a server that notes what arrives and answers in `ServerWork`, with `fieldsOf` it.
+    /// Adds a server that records its requests and answers after `ServerResponseTime`, with the
+    /// additional fields of `fieldsOf`.
     fake_server &addNoting(const std::string &service, const std::string &id,
                            const std::string &dataCenter = "z");
     void send(const std::string &path, const std::string &pieceCounts = {});
     void sendTo(const std::string &to, const std::string &path,
                 const std::string &pieceCounts = {});
-    /// Sends requests to one node after the other for so long, and waits for their ends.
+    /// Sends requests to the nodes in turn for `time`, and waits until all have ended.
     void load(const std::string &path, milliseconds time, const std::string &pieceCounts = {});
     void awaitAll();
 
-    /// How many were refused later than at once.
+    /// Returns how many requests were refused later than `AtOnce`.
     [[nodiscard]] std::size_t refusedLate() const;
     [[nodiscard]] std::size_t answeredWith(int status) const;
     [[nodiscard]] std::size_t arrivalsSince(const std::string &id, steady_time since) const;
 
-    /// Fields that a server adds to each answer, as written on the wire.
+    /// Returns the fields that a server adds to each answer, in wire format.
     std::function<std::string(const std::string &id)> fieldsOf;
-    std::set<std::string> refusing; ///< servers that answer 503 at once, and run nothing
+    std::set<std::string> refusing; ///< servers that answer 503 at once without running requests
     std::map<std::string, std::vector<arrival>> arrivals; ///< by server
     std::vector<asked> requests;
-    std::set<std::string> idleNodes; ///< that `send` passes over
-    int pieces = 0; ///< made
+    std::set<std::string> idleNodes; ///< skipped by `send`
+    int pieces = 0; ///< handles returned so far
 
 private:
     void onRequest(const std::string &id, const server_request &request,
@@ -75,7 +75,7 @@
                   const std::shared_ptr<server_answer> &answer);
     [[nodiscard]] std::string stageAnswer(const std::string &id, const server_request &request);
     [[nodiscard]] std::string withFields(const std::string &id, const std::string &answer) const;
-    void noteEnds();
+    void recordEnds();
 
     struct sent_request
     {
@@ -83,8 +83,8 @@
         steady_time at;
     };
     std::size_t m_sent = 0;
-    std::size_t m_turn = 0; ///< of the nodes
-    std::map<std::string, sent_request> m_byAttempt; ///< all that were ever sent
+    std::size_t m_nextNode = 0;
+    std::map<std::string, sent_request> m_byAttempt; ///< all requests ever sent
 };
 
 inline const std::string EngineService =
--- a/tests/platform/stages_test.cpp
+++ b/tests/platform/stages_test.cpp
@@ -16,7 +16,7 @@
     R"({"name":"p","segments":{"slots":1,"queue":2,"batch":8,"call_ms":20,"item_ms":1,)"
     R"("headroom_mb":1,"handle_s":4}},{"name":"engine","engine":{"slots":8,"kv_capacity":100000}})";
 
-/// A server of stages: makes a handle for each piece, names a delay, counts what is freed.
+/// A stage server that returns a handle for each piece after 60 ms, and counts the freed results.
 class stage_server
 {
 public:
@@ -34,11 +34,11 @@
     }
 
     fake_server &server;
-    std::vector<std::size_t> calls; ///< pieces of each
-    std::vector<std::string> attempts; ///< of all pieces
+    std::vector<std::size_t> calls; ///< number of pieces of each call
+    std::vector<std::string> attempts; ///< attempt IDs of all pieces
     std::size_t freed = 0;
-    bool mute = false;
-    int inputsGone = 0; ///< calls with inputs that fail so
+    bool unresponsive = false;
+    int inputsGone = 0; ///< number of pieces with inputs still to fail as gone
 
 private:
     void onFree(const server_request &request, const std::shared_ptr<server_answer> &answer)
@@ -62,7 +62,7 @@
                     + "/" + std::to_string(++m_made) + R"("})";
             inputsGone -= gone ? 1 : 0;
         }
-        if (mute)
+        if (unresponsive)
             return;
         const auto body = R"({"items":[)" + results + "]}";
         m_world.loop.callAfter(milliseconds{60}, [answer, body] {
@@ -100,7 +100,7 @@
 
 } // namespace
 
-TEST_CASE("a request runs with the results of its stages, which are freed when it has begun")
+TEST_CASE("a request runs with the results of its stages, which are then freed")
 {
     stage_world w;
     w.startGateway("g1");
@@ -112,7 +112,7 @@
     CHECK(w.runUntil([&] { return w.stages.freed == 3; }));
 }
 
-TEST_CASE("a request without pieces runs with no inputs")
+TEST_CASE("a request without pieces runs without inputs")
 {
     stage_world w;
     w.startGateway("g1");
@@ -121,7 +121,7 @@
     CHECK(w.stages.calls.empty());
 }
 
-TEST_CASE("piece counts that don't fit the route are refused")
+TEST_CASE("piece counts that don't match the route are rejected with status 400")
 {
     stage_world w;
     w.startGateway("g1");
@@ -130,7 +130,7 @@
     CHECK(answer->status == 400);
 }
 
-TEST_CASE("a client that leaves takes the stages of its request with it")
+TEST_CASE("the stages of a request are cancelled when its client disconnects")
 {
     stage_world w;
     w.startGateway("g1");
@@ -147,7 +147,7 @@
     CHECK(w.engine.requests().empty());
 }
 
-TEST_CASE("stages whose inputs were lost are done again")
+TEST_CASE("all stages run again after inputs were lost")
 {
     stage_world w;
     w.startGateway("g1");
@@ -158,14 +158,14 @@
     CHECK(w.stages.calls.size() == 4);
 }
 
-TEST_CASE("the pieces of requests at two nodes share calls")
+TEST_CASE("pieces of requests at two nodes share calls")
 {
     stage_world w;
     w.startGateway("g1");
     w.startGateway("g2");
     REQUIRE(w.runUntil([&] { return w.logged.str().find("g2 alive") != std::string::npos; }));
     w.runFor(milliseconds{300});
-    // The first takes the only server; the others wait for it together.
+    // The first request occupies the only server, and the others wait for it and share a call.
     const auto first = w.ask("g1", "a0", "1,0");
     w.runFor(milliseconds{20});
     std::vector<std::shared_ptr<client_answer>> answers;
@@ -178,23 +178,24 @@
         CHECK(each->body == event(1));
 }
 
-// The pattern: a node starts, is heard of at once and hosts a pool by then, and takes seconds to
-// read a long list of servers.
-TEST_CASE("a node that knows no servers yet doesn't host, and no request is refused for it")
+// Guards against requests refused by a starting node: other nodes choose it as the host of a pool
+// at once, but reading a long list of servers takes it seconds.
+TEST_CASE("a node without the list of servers hosts no pool, and no request is refused")
 {
     stage_world w;
     w.startGateway("g1");
     w.startGateway("g2");
-    std::string fresh;
-    for (int i = 0; fresh.empty(); ++i) {
+    std::string newNode;
+    for (int i = 0; newNode.empty(); ++i) {
         const std::vector<vm_id> nodes{vm_id("g1"), vm_id("g2"), vm_id("new" + std::to_string(i))};
         if (rendezvousPick("p", nodes, 1).front() == nodes.back())
-            fresh = nodes.back().value;
+            newNode = nodes.back().value;
     }
     w.store.sendListsIn(8, milliseconds{250});
-    w.startGateway(fresh, false);
-    REQUIRE(w.runUntil([&] { return w.logged.str().find(fresh + " alive") != std::string::npos; }));
-    CHECK(w.readiness(fresh) == 503);
+    w.startGateway(newNode, false);
+    REQUIRE(
+        w.runUntil([&] { return w.logged.str().find(newNode + " alive") != std::string::npos; }));
+    CHECK(w.readiness(newNode) == 503);
     std::vector<std::shared_ptr<client_answer>> answers;
     for (int i = 0; i < 6; ++i) {
         answers.push_back(w.ask("g1", "a" + std::to_string(i), "2,1"));
@@ -205,15 +206,15 @@
         REQUIRE(w.await(each));
         CHECK(each->status == 200);
     }
-    CHECK(w.runUntil([&] { return w.readiness(fresh) == 200; }));
+    CHECK(w.runUntil([&] { return w.readiness(newNode) == 200; }));
 }
 
-TEST_CASE("a call that a silent server holds up is made elsewhere")
+TEST_CASE("a call to an unresponsive server is repeated at another one")
 {
     stage_world w;
     stage_server other(w, "p-2");
     w.startGateway("g1");
-    w.stages.mute = true;
+    w.stages.unresponsive = true;
     const auto first = w.ask("g1", "a1", "1,0");
     const auto second = w.ask("g1", "a2", "1,0");
     REQUIRE(w.await(first));
@@ -222,14 +223,14 @@
     CHECK(second->body == event(1));
 }
 
-TEST_CASE("a request that waits for its stages in a planned stop is refused before the end")
+TEST_CASE("a request waiting for its stages is refused before a planned stop completes")
 {
     stage_world w;
-    auto patient = streamRoute(true, Stages);
-    patient.replace(patient.find("4000"), 4, "9000");
-    w.publish(2, patient, Services);
+    auto longRoute = streamRoute(true, Stages);
+    longRoute.replace(longRoute.find("4000"), 4, "9000");
+    w.publish(2, longRoute, Services);
     w.startGateway("g1");
-    w.stages.mute = true;
+    w.stages.unresponsive = true;
     const auto began = w.clock.now();
     w.stopGateway("g1");
     auto head = makeRequest("POST", "/s/x", "a1");
