--- a/bench/fleet/peer_fleet.cpp
+++ b/bench/fleet/peer_fleet.cpp
@@ -175,7 +175,7 @@
     }
 }
 
-std::size_t peer_fleet::nodesThatLost(const data_center_id &dataCenter) const
+std::size_t peer_fleet::countNodesWithLost(const data_center_id &dataCenter) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(m_nodes, [&](const fleet_node &each) {
         return each.view && each.lost.contains(dataCenter);
@@ -204,7 +204,7 @@
     return limit;
 }
 
-std::size_t peer_fleet::mostBytesSent() const
+std::size_t peer_fleet::maxBytesSent() const
 {
     return std::ranges::max_element(m_nodes, {}, &fleet_node::bytesSent)->bytesSent;
 }
@@ -222,12 +222,12 @@
     return meanOf(&fleet_node::bytesSent);
 }
 
-std::size_t peer_fleet::meanBytesSentFar() const
+std::size_t peer_fleet::meanBytesSentToOtherDataCenters() const
 {
     return meanOf(&fleet_node::bytesSentToOtherDataCenters);
 }
 
-void peer_fleet::cutOff(const std::optional<data_center_id> &dataCenter)
+void peer_fleet::partition(const std::optional<data_center_id> &dataCenter)
 {
     if (!dataCenter) {
         cut({});
@@ -238,7 +238,7 @@
     });
 }
 
-void peer_fleet::forgetTraffic()
+void peer_fleet::resetTraffic()
 {
     m_bytesByKind.clear();
     for (auto &each : m_nodes) {
--- a/bench/fleet/peer_fleet.h
+++ b/bench/fleet/peer_fleet.h
@@ -57,24 +57,24 @@
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
     [[nodiscard]] peer_view &view(std::size_t node) { return *m_nodes[node].view; }
     /// Returns the highest number of bytes that one node sent since the last call of
-    /// `forgetTraffic`, headers included.
-    [[nodiscard]] std::size_t mostBytesSent() const;
+    /// `resetTraffic`, headers included.
+    [[nodiscard]] std::size_t maxBytesSent() const;
     [[nodiscard]] std::size_t meanBytesSent() const;
     /// Returns the mean number of bytes that a node sent to other data centres in that time.
-    [[nodiscard]] std::size_t meanBytesSentFar() const;
+    [[nodiscard]] std::size_t meanBytesSentToOtherDataCenters() const;
     /// Also counts bytes by kind of datagram from now on, which takes decoding each datagram.
     void countKinds() { m_countsKinds = true; }
-    /// Returns the bytes that all nodes sent since the last call of `forgetTraffic`, by kind of
+    /// Returns the bytes that all nodes sent since the last call of `resetTraffic`, by kind of
     /// datagram.
     [[nodiscard]] const std::map<gossip_kind, std::size_t> &bytesByKind() const
     {
         return m_bytesByKind;
     }
-    void forgetTraffic();
+    void resetTraffic();
     /// Partitions a data centre from all others; an empty argument heals the partition.
-    void cutOff(const std::optional<data_center_id> &dataCenter);
+    void partition(const std::optional<data_center_id> &dataCenter);
     /// Returns the number of running nodes that consider a data centre lost.
-    [[nodiscard]] std::size_t nodesThatLost(const data_center_id &dataCenter) const;
+    [[nodiscard]] std::size_t countNodesWithLost(const data_center_id &dataCenter) const;
 
 private:
     /// The network as the broadcast relay of one node uses it.
@@ -83,12 +83,12 @@
         peer_fleet &fleet;
         std::size_t node;
 
-        [[nodiscard]] const std::vector<vm_id> &newsReceivers()
+        [[nodiscard]] const std::vector<vm_id> &broadcastTargets()
         {
-            return fleet.view(node).newsReceivers();
+            return fleet.view(node).broadcastTargets();
         }
         [[nodiscard]] bool isBroadcastRelay() { return fleet.view(node).isBroadcastRelay(); }
-        void onUse(const data_center_id &which) { fleet.view(node).onUse(which); }
+        void onTraffic(const data_center_id &which) { fleet.view(node).onTraffic(which); }
         void send(const vm_id &to, const peer_frame &frame)
         {
             fleet.sendBroadcast(node, to, frame);
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -59,7 +59,7 @@
     out.agreed = fleet.runUntilAgreed(Limit);
     fleet.run(std::max(milliseconds{0}, milliseconds{5000} - out.agreed - StartWithin));
     out.startBytes = fleet.meanBytesSent();
-    out.mostStartBytes = fleet.mostBytesSent();
+    out.mostStartBytes = fleet.maxBytesSent();
 }
 
 void printKinds(const peer_fleet &fleet, const std::string &when, std::size_t seconds)
@@ -75,10 +75,10 @@
 void measureCalm(peer_fleet &fleet, fleet_figures &out)
 {
     fleet.run(milliseconds{10'000});
-    fleet.forgetTraffic();
+    fleet.resetTraffic();
     fleet.run(milliseconds{1000 * CalmSeconds});
     out.calmBytes = fleet.meanBytesSent() / CalmSeconds;
-    out.calmFarBytes = fleet.meanBytesSentFar() / CalmSeconds;
+    out.calmFarBytes = fleet.meanBytesSentToOtherDataCenters() / CalmSeconds;
     printKinds(fleet, "calm", CalmSeconds);
 }
 
@@ -87,7 +87,7 @@
     std::map<vm_id, std::size_t> followers;
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         auto &view = fleet.view(node);
-        const auto place = gateway::placeInTree(view.self(), view.relayOrder());
+        const auto place = gateway::positionInTree(view.self(), view.relayOrder());
         out.steps = std::max(out.steps, place.level);
         for (const auto &source : place.sources)
             out.mostFollowers = std::max(out.mostFollowers, ++followers[source]);
@@ -101,7 +101,7 @@
     for (std::size_t node = 0; node < fleet.size(); ++node)
         others += fleet.dataCenterOf(node) == dataCenter ? 0 : 1;
     milliseconds taken{0};
-    while (taken < Limit && fleet.nodesThatLost(dataCenter) < others) {
+    while (taken < Limit && fleet.countNodesWithLost(dataCenter) < others) {
         fleet.run(Step);
         taken += Step;
     }
@@ -112,15 +112,15 @@
 {
     constexpr milliseconds Settled{6000};
     const auto cut = fleet.dataCenterOf(0);
-    fleet.view(1).onUse(cut);
-    fleet.cutOff(cut);
+    fleet.view(1).onTraffic(cut);
+    fleet.partition(cut);
     out.lost = runUntilLost(fleet, cut);
     fleet.run(std::max(milliseconds{0}, Settled - out.lost));
-    fleet.forgetTraffic();
+    fleet.resetTraffic();
     fleet.run(milliseconds{1000 * CutSeconds});
     out.cutBytes = fleet.meanBytesSent() / CutSeconds;
     printKinds(fleet, "a data centre is cut off", CutSeconds);
-    fleet.cutOff(std::nullopt);
+    fleet.partition(std::nullopt);
     out.healed = fleet.runUntilAgreed(Limit);
 }
 
--- a/src/gateway/codec.h
+++ b/src/gateway/codec.h
@@ -24,17 +24,18 @@
 };
 
 /// Consistency of a read from the store.
-enum class read_freshness {
+enum class read_consistency {
     Latest,
-    MayBeOld, ///< stale by seconds; costs a tenth and does not count against the store's rate limit
+    MayBeStale, ///< stale by seconds; costs a tenth and does not count against the store's rate
+                ///< limit
 };
 
 /// Metadata of a client's request.
-struct request_marks
+struct request_metadata
 {
     std::string attempt; ///< the client's identifier of this attempt; servers echo it
     std::string host;
-    std::optional<milliseconds> patience; ///< how long the client waits
+    std::optional<milliseconds> clientTimeout; ///< how long the client waits
     std::string key; ///< the customer's API key
     std::optional<std::uint64_t> lastEvent; ///< the stream resumes after this event
     std::vector<prompt_part> prompt; ///< parts in order
@@ -42,13 +43,13 @@
     std::uint32_t answerTokens = 0; ///< upper limit
     std::vector<std::uint32_t> pieceCounts; ///< per stage
     std::string pieceKey; ///< input key of the pieces of stages without inputs
-    std::uint32_t forgedFields = 0; ///< fields that only the system may set; sent to no server
+    std::uint32_t reservedFields = 0; ///< fields that only the system may set; sent to no server
 };
 
 /// Metadata that the gateway sends to a server with a request.
-struct server_marks
+struct forwarded_metadata
 {
-    milliseconds patience{0}; ///< remaining time
+    milliseconds clientTimeout{0}; ///< remaining time
     backend_server_id instance; ///< intended server; any other server must refuse the request
     customer_id customer;
     std::optional<std::uint32_t> priority;
@@ -57,11 +58,11 @@
 };
 
 /// Metadata of a server's answer.
-struct answer_marks
+struct response_metadata
 {
     std::string attempt; ///< attempt identifier of the answered request; empty: not stated
     bool signedByServer = false;
-    bool notRun = false; ///< the server states that it has not run the request
+    bool notExecuted = false; ///< the server states that it has not run the request
     server_signals server;
 };
 
@@ -71,7 +72,8 @@
     std::string attempt; ///< attempt identifier of the client's request
     std::uint32_t stage = 0;
     std::uint32_t piece = 0; ///< index from 0
-    std::optional<milliseconds> patience; ///< the server does not start the piece after this time
+    std::optional<milliseconds>
+        clientTimeout; ///< the server does not start the piece after this time
     std::string key; ///< for stages without inputs
     std::vector<std::string> inputs; ///< result handles
     request_digest digest{}; ///< of the client's request; sent between nodes only, not to servers
@@ -79,23 +81,23 @@
 
 /// Why a piece has no result. Gateways, not servers, set the reasons from `Evacuated` on.
 enum class piece_failure {
-    Late, ///< the piece's patience was over
+    Late, ///< the client timeout of the piece has passed
     InputGone,
     NoRoom,
     Error,
     Evacuated, ///< the servers of the pool get no new work: their data centre is evacuated
     ServersLeaving, ///< the servers of the pool are leaving
-    ServersBackedOff, ///< the servers of the pool asked the host to back off
-    HostUnready, ///< the host has just started and knows no servers yet
-    Unreached, ///< the servers of the pool that were tried could not be reached
+    ServersBackingOff, ///< the servers of the pool asked the host to back off
+    HostNotReady, ///< the host has just started and knows no servers yet
+    ServersUnreachable, ///< the servers of the pool that were tried could not be reached
 };
 
 /// Whether a host rejected the piece because no server of its pool gets new work. Servers of
 /// another pool may still take it.
-[[nodiscard]] constexpr bool poolIsClosed(piece_failure failure)
+[[nodiscard]] constexpr bool poolRefusesWork(piece_failure failure)
 {
     return failure == piece_failure::Evacuated || failure == piece_failure::ServersLeaving
-        || failure == piece_failure::ServersBackedOff;
+        || failure == piece_failure::ServersBackingOff;
 }
 
 /// The handle of a result, or the reason why there is none.
@@ -111,7 +113,7 @@
 struct published_server
 {
     server_record record;
-    milliseconds coldFor{0}; ///< remaining cold time when this was sent
+    milliseconds coldTimeLeft{0}; ///< remaining cold time when this was sent
 };
 struct removed_server
 {
@@ -152,20 +154,20 @@
 template <class Codec>
 concept gateway_codec = requires(const http::request_head &request,
                                  const http::response_head &answer, http::field_list &fields,
-                                 const server_marks &marks,
+                                 const forwarded_metadata &metadata,
                                  const std::vector<piece_request> &pieces, std::string_view text,
                                  const std::vector<std::string> &handles, std::uint64_t revision,
                                  milliseconds wait)
 {
     {
         Codec::readRequest(request)
-        } -> std::same_as<request_marks>;
+        } -> std::same_as<request_metadata>;
     {
-        Codec::writeServerFields(request, marks)
+        Codec::writeServerFields(request, metadata)
         } -> std::same_as<http::field_list>;
     {
         Codec::readAnswer(answer)
-        } -> std::same_as<answer_marks>;
+        } -> std::same_as<response_metadata>;
     {
         Codec::retryAfter(wait)
         } -> std::same_as<http::field>;
@@ -176,7 +178,7 @@
         Codec::stagePath()
         } -> std::same_as<std::string_view>;
     {
-        Codec::stageFields(marks.instance)
+        Codec::stageFields(metadata.instance)
         } -> std::same_as<http::field_list>;
     {
         Codec::writePieces(pieces)
@@ -197,7 +199,7 @@
         Codec::operationsTarget(text)
         } -> std::same_as<std::string>;
     {
-        Codec::serversTarget(text, read_freshness::Latest)
+        Codec::serversTarget(text, read_consistency::Latest)
         } -> std::same_as<std::string>;
     {
         Codec::watchTarget(revision, wait)
@@ -233,16 +235,16 @@
     orchidlead::enum_name<orchidlead::gateway::piece_failure>{
         orchidlead::gateway::piece_failure::ServersLeaving, "servers_leaving"},
     orchidlead::enum_name<orchidlead::gateway::piece_failure>{
-        orchidlead::gateway::piece_failure::ServersBackedOff, "servers_backed_off"},
+        orchidlead::gateway::piece_failure::ServersBackingOff, "servers_backed_off"},
     orchidlead::enum_name<orchidlead::gateway::piece_failure>{
-        orchidlead::gateway::piece_failure::HostUnready, "host_unready"},
+        orchidlead::gateway::piece_failure::HostNotReady, "host_unready"},
     orchidlead::enum_name<orchidlead::gateway::piece_failure>{
-        orchidlead::gateway::piece_failure::Unreached, "unreached"},
+        orchidlead::gateway::piece_failure::ServersUnreachable, "unreached"},
 };
 template <>
-inline constexpr std::array orchidlead::enumNames<orchidlead::gateway::read_freshness>{
-    orchidlead::enum_name<orchidlead::gateway::read_freshness>{
-        orchidlead::gateway::read_freshness::Latest, "latest"},
-    orchidlead::enum_name<orchidlead::gateway::read_freshness>{
-        orchidlead::gateway::read_freshness::MayBeOld, "may_be_old"},
+inline constexpr std::array orchidlead::enumNames<orchidlead::gateway::read_consistency>{
+    orchidlead::enum_name<orchidlead::gateway::read_consistency>{
+        orchidlead::gateway::read_consistency::Latest, "latest"},
+    orchidlead::enum_name<orchidlead::gateway::read_consistency>{
+        orchidlead::gateway::read_consistency::MayBeStale, "may_be_old"},
 };
--- a/src/gateway/exchange/exchange.h
+++ b/src/gateway/exchange/exchange.h
@@ -3,22 +3,22 @@
 #include "gateway/codec.h"
 #include "gateway/exchange/event_splitter.h"
 #include "gateway/exchange/exchange_limits.h"
+#include "gateway/exchange/latency_estimator.h"
 #include "gateway/exchange/request_log.h"
 #include "gateway/exchange/request_outcome.h"
-#include "gateway/exchange/retry_allowance.h"
-#include "gateway/exchange/time_estimates.h"
+#include "gateway/exchange/retry_budget.h"
 #include "gateway/gateway_metrics.h"
 #include "gateway/log_event.h"
-#include "gateway/placement/prompt_home.h"
+#include "gateway/placement/prompt_affinity.h"
 #include "gateway/placement/request_placer.h"
 #include "gateway/policy.h"
 #include "gateway/publication/published_state.h"
 #include "gateway/quarantine/quarantine_relay.h"
 #include "gateway/quarantine/request_digest.h"
-#include "gateway/quarantine/server_end_observer.h"
+#include "gateway/quarantine/server_crash_detector.h"
 #include "gateway/servers/server_directory.h"
+#include "gateway/stages/stage_progress.h"
 #include "gateway/stages/stage_router.h"
-#include "gateway/stages/stage_work.h"
 #include "http/connection_pool.h"
 #include "http/inbound_connection.h"
 #include "wire/log.h"
@@ -40,7 +40,7 @@
     http::io_loop &loop;
     http::connection_pool &pool;
     server_directory &directory;
-    retry_allowance &allowance;
+    retry_budget &retryBudget;
     peer_network &peers;
     stage_router<Codec> &stages;
     request_placer &placer;
@@ -48,14 +48,14 @@
     wire::log &log;
     gateway_metrics &metrics;
     const published_state &published;
-    line_allowance &lines;
+    log_rate_limiter &logLimiter;
     data_center_id dataCenter;
-    const policies_left_out &without;
+    const disabled_policies &disabledPolicies;
     configuration_ptr configuration; ///< null until one was received
-    time_estimates times;
+    latency_estimator latencyEstimator;
     std::minstd_rand random; ///< for the service weights of routes
     /// Called when a connection breaks while a request is in flight to the server.
-    std::function<void(const server &, const interrupted_request &)> onBroken;
+    std::function<void(const server &, const in_flight_request &)> onConnectionBroken;
 };
 
 /// Handles one client request, from its head to the end of its answer.
@@ -131,7 +131,8 @@
     [[nodiscard]] std::optional<request_outcome> unservableReason();
     /// Does the same for the pieces of a stage.
     [[nodiscard]] std::optional<request_outcome> unservableReason(std::size_t stage);
-    [[nodiscard]] pool_key stagePool(const service_id &service, const data_center_id &near);
+    [[nodiscard]] pool_key stagePool(const service_id &service,
+                                     const data_center_id &preferredDataCenter);
     [[nodiscard]] bool isPredictedLate() const;
     [[nodiscard]] bool hasResultsIn(const data_center_id &dataCenter) const;
     [[nodiscard]] bool mayRestartStages();
@@ -139,16 +140,16 @@
     void onStagesDone();
     [[nodiscard]] stage_rank stageRank() const { return {m_priority, m_route->priority}; }
     void cancelPieces();
-    void freeResults();
+    void freeStageResults();
 
     void attempt();
     /// Returns whether the node that hosts the pool of the service chooses the server.
     [[nodiscard]] bool needsPlacement() const;
-    [[nodiscard]] placement_wish makeWish();
+    [[nodiscard]] placement_query makeQuery();
     /// Returns how long the request may wait for its dispatch and still meet its latency objective.
     [[nodiscard]] milliseconds slack() const;
     void place();
-    void onPlaced(const placed_request &placed);
+    void onPlaced(const placement_result &placed);
     void endPlacement();
     [[nodiscard]] server_ptr chooseServer();
     void sendTo(server_ptr chosen);
@@ -159,7 +160,7 @@
     [[nodiscard]] bool isServerEligible() const;
     [[nodiscard]] std::optional<std::string> writeHead();
     /// Records the server signals of an answer that belongs to another request.
-    void onMismatchedHead(const answer_marks &marks);
+    void onMismatchedHead(const response_metadata &metadata);
     void onHead(const http::response_head &head);
     void onBody(std::string_view bytes);
     void onEvents(std::string_view bytes);
@@ -197,7 +198,7 @@
     void logAttemptEnd(std::string_view how);
     void logRetryDenied(std::string_view why);
     void logTrial(bool granted);
-    void logPlaced(const placed_request &placed);
+    void logPlaced(const placement_result &placed);
     void logEnd(request_outcome outcome);
 
     [[nodiscard]] milliseconds timeLeft() const;
@@ -210,7 +211,7 @@
     const route *m_route = nullptr;
     const customer_spec *m_customer = nullptr;
     residency m_residency; ///< regions where the request may be processed
-    request_marks m_marks;
+    request_metadata m_metadata;
     request_digest m_digest; ///< equal for all repeats of this request
     data_center_id m_preferredDataCenter; ///< preferred data centre for the work
     data_center_id m_unreachableDataCenter; ///< where servers could not be reached; empty: none
@@ -224,7 +225,7 @@
     std::optional<milliseconds>
         m_timeToFirstEvent; ///< time from arrival to the first event sent to the client
 
-    std::optional<stage_work> m_stageWork;
+    std::optional<stage_progress> m_stageProgress;
     std::vector<std::chrono::microseconds> m_timesAfterStages; ///< estimated time after each stage
     std::vector<steady_time> m_stageSubmittedAt; ///< when the pieces of each stage were submitted
     std::vector<pool_key> m_stagePools; ///< of each stage; expected pool until the stage starts
@@ -248,7 +249,7 @@
     bool m_mayHaveRun = false;
     forwarding_mode m_forwarding = forwarding_mode::Nothing;
     http::response_head m_answer;
-    answer_marks m_answerMarks;
+    response_metadata m_responseMetadata;
     std::string m_buffered;
     event_splitter m_splitter;
     bool m_headSent = false; ///< a response head was sent to the client
--- a/src/gateway/exchange/exchange_answers_impl.h
+++ b/src/gateway/exchange/exchange_answers_impl.h
@@ -11,9 +11,9 @@
 // A late answer may be older than answers that this node already received, so its rate limit may be
 // outdated and is ignored.
 template <gateway_codec Codec>
-void exchange<Codec>::onMismatchedHead(const answer_marks &marks)
+void exchange<Codec>::onMismatchedHead(const response_metadata &metadata)
 {
-    auto signals = marks.server;
+    auto signals = metadata.server;
     signals.rateLimit = NoSignals.rateLimit;
     m_context.directory.onSignals(*m_server, signals);
 }
@@ -21,10 +21,10 @@
 template <gateway_codec Codec>
 void exchange<Codec>::onHead(const http::response_head &head)
 {
-    m_answerMarks = Codec::readAnswer(head);
-    m_context.directory.onAnswerBegun(*m_server);
-    m_context.directory.onSignals(*m_server, m_answerMarks.server);
-    m_context.placer.onSignals(m_placement, m_answerMarks.server);
+    m_responseMetadata = Codec::readAnswer(head);
+    m_context.directory.onResponseBegin(*m_server);
+    m_context.directory.onSignals(*m_server, m_responseMetadata.server);
+    m_context.placer.onSignals(m_placement, m_responseMetadata.server);
     const bool success = head.status >= status::Ok && head.status < status::FirstRedirect;
     if (m_headSent) {
         // The continuation of a stream, whose head was already sent to the client.
@@ -32,8 +32,8 @@
         return;
     }
     m_answer = head;
-    const bool refused = m_answerMarks.notRun || head.status == status::Misdirected;
-    if (refused || (success && !m_answerMarks.signedByServer)) {
+    const bool refused = m_responseMetadata.notExecuted || head.status == status::Misdirected;
+    if (refused || (success && !m_responseMetadata.signedByServer)) {
         m_forwarding = forwarding_mode::Nothing;
         return;
     }
@@ -81,8 +81,8 @@
             m_context.metrics.onFirstEvent(*m_timeToFirstEvent);
             const auto took = std::chrono::duration_cast<std::chrono::microseconds>(
                 m_context.loop.now() - m_attemptStartedAt);
-            m_context.times.onFirstAnswer(m_service, took);
-            m_context.placer.onFirstAnswer(m_placement);
+            m_context.latencyEstimator.onFirstToken(m_service, took);
+            m_context.placer.onFirstToken(m_placement);
             beginAnswer();
         }
         m_client->write(events);
@@ -108,8 +108,8 @@
     m_clientStatus = head.status;
     m_client->begin(head);
     if (m_forwarding == forwarding_mode::Events) {
-        freeResults();
-        m_needsStages = m_stageWork.has_value();
+        freeStageResults();
+        m_needsStages = m_stageProgress.has_value();
     }
 }
 
--- a/src/gateway/exchange/exchange_attempts_impl.h
+++ b/src/gateway/exchange/exchange_attempts_impl.h
@@ -13,14 +13,14 @@
 template <gateway_codec Codec>
 server_ptr exchange<Codec>::chooseServer()
 {
-    server_wish wish;
-    wish.service = m_service;
-    wish.exclude = m_triedServers;
-    wish.near = m_context.dataCenter;
-    wish.allowed = m_residency;
-    if (const auto largest = m_stageWork ? m_stageWork->largest() : std::nullopt)
-        wish.near = resultLocation(largest->handle);
-    return m_context.directory.choose(wish);
+    server_query query;
+    query.service = m_service;
+    query.exclude = m_triedServers;
+    query.preferredDataCenter = m_context.dataCenter;
+    query.allowed = m_residency;
+    if (const auto largest = m_stageProgress ? m_stageProgress->largest() : std::nullopt)
+        query.preferredDataCenter = resultLocation(largest->handle);
+    return m_context.directory.choose(query);
 }
 
 template <gateway_codec Codec>
@@ -54,60 +54,61 @@
 template <gateway_codec Codec>
 bool exchange<Codec>::needsPlacement() const
 {
-    const bool onEngine = m_route->prefixAffinity && !m_marks.prompt.empty();
-    return onEngine || m_context.directory.anyBounded(m_service, m_residency);
+    const bool onEngine = m_route->prefixAffinity && !m_metadata.prompt.empty();
+    return onEngine || m_context.directory.anyRateLimited(m_service, m_residency);
 }
 
 template <gateway_codec Codec>
 milliseconds exchange<Codec>::slack() const
 {
-    const auto expected = m_context.times.firstAnswerTime(m_service);
+    const auto expected = m_context.latencyEstimator.firstAnswerTime(m_service);
     const auto due = m_arrival + m_route->objective - expected;
     return std::max(milliseconds{0},
                     std::chrono::duration_cast<milliseconds>(due - m_context.loop.now()));
 }
 
 template <gateway_codec Codec>
-placement_wish exchange<Codec>::makeWish()
+placement_query exchange<Codec>::makeQuery()
 {
-    placement_wish wish;
-    wish.exclude = m_context.directory.passedOver(m_service, m_residency);
-    std::ranges::copy(m_triedServers, std::back_inserter(wish.exclude));
-    wish.near = m_preferredDataCenter.empty() ? choosePreferredDataCenter() : m_preferredDataCenter;
-    wish.nearBytes = m_body.size();
-    if (const auto largest = m_stageWork ? m_stageWork->largest() : std::nullopt) {
-        wish.near = resultLocation(largest->handle);
-        wish.nearBytes = largest->bytes;
+    placement_query query;
+    query.exclude = m_context.directory.excludedServers(m_service, m_residency);
+    std::ranges::copy(m_triedServers, std::back_inserter(query.exclude));
+    query.preferredDataCenter =
+        m_preferredDataCenter.empty() ? choosePreferredDataCenter() : m_preferredDataCenter;
+    query.transferBytes = m_body.size();
+    if (const auto largest = m_stageProgress ? m_stageProgress->largest() : std::nullopt) {
+        query.preferredDataCenter = resultLocation(largest->handle);
+        query.transferBytes = largest->bytes;
     }
-    wish.allowed = m_residency;
-    wish.pool =
-        m_context.placer.poolFor(m_service, usableDataCenter(wish.near, m_service), m_residency);
-    wish.rank = stageRank();
-    wish.patience = slack();
-    wish.admitted = m_admitted;
-    return wish;
+    query.allowed = m_residency;
+    query.pool = m_context.placer.poolFor(
+        m_service, usableDataCenter(query.preferredDataCenter, m_service), m_residency);
+    query.rank = stageRank();
+    query.clientTimeout = slack();
+    query.admitted = m_admitted;
+    return query;
 }
 
 template <gateway_codec Codec>
 void exchange<Codec>::place()
 {
-    auto wish = makeWish();
-    wish.prompt = m_marks.prompt;
+    auto query = makeQuery();
+    query.prompt = m_metadata.prompt;
     m_placement = m_context.placer.place(
-        std::move(wish), [self = this->shared_from_this()](const placed_request &placed) {
+        std::move(query), [self = this->shared_from_this()](const placement_result &placed) {
             if (!self->m_done)
                 self->onPlaced(placed);
         });
 }
 
 template <gateway_codec Codec>
-void exchange<Codec>::onPlaced(const placed_request &placed)
+void exchange<Codec>::onPlaced(const placement_result &placed)
 {
     logPlaced(placed);
     if (!placed.server) {
         m_capacityDelay = placed.wait;
         const auto fallback =
-            placed.allBounded ? request_outcome::ServersLimited : request_outcome::NoServer;
+            placed.allRateLimited ? request_outcome::ServersLimited : request_outcome::NoServer;
         failRequest(unservableReason().value_or(fallback));
         return;
     }
@@ -150,10 +151,10 @@
     call.toHead = m_head.method == "HEAD";
     call.writeHead = [self] { return self->writeHead(); };
     call.isMine = [self](const http::response_head &head) {
-        const auto marks = Codec::readAnswer(head);
-        if (marks.attempt.empty() || marks.attempt == self->m_marks.attempt)
+        const auto metadata = Codec::readAnswer(head);
+        if (metadata.attempt.empty() || metadata.attempt == self->m_metadata.attempt)
             return true;
-        self->onMismatchedHead(marks);
+        self->onMismatchedHead(metadata);
         return false;
     };
     call.onHead = [self](const http::response_head &head) { self->onHead(head); };
@@ -168,7 +169,7 @@
 template <gateway_codec Codec>
 bool exchange<Codec>::isServerEligible() const
 {
-    return m_server->takes(m_context.loop.now()) && m_residency.allows(m_server->region);
+    return m_server->accepts(m_context.loop.now()) && m_residency.allows(m_server->region);
 }
 
 template <gateway_codec Codec>
@@ -177,20 +178,20 @@
     m_serverIneligible = !isServerEligible();
     if (m_done || m_serverIneligible || timeLeft() <= milliseconds{0} || !isSendingAllowed())
         return std::nullopt;
-    server_marks marks;
-    marks.patience = timeLeft() + AnswerMargin;
-    marks.instance = m_server->record.id;
+    forwarded_metadata metadata;
+    metadata.clientTimeout = timeLeft() + AnswerMargin;
+    metadata.instance = m_server->record.id;
     if (m_customer)
-        marks.customer = m_customer->id;
+        metadata.customer = m_customer->id;
     if (m_route->kind == request_kind::Stream)
-        marks.priority = std::min(m_priority, LowestPriority);
-    marks.lastEvent = m_splitter.lastEvent() ? m_splitter.lastEvent() : m_marks.lastEvent;
-    if (m_stageWork)
-        marks.inputs = m_stageWork->inputs();
+        metadata.priority = std::min(m_priority, LowestPriority);
+    metadata.lastEvent = m_splitter.lastEvent() ? m_splitter.lastEvent() : m_metadata.lastEvent;
+    if (m_stageProgress)
+        metadata.inputs = m_stageProgress->inputs();
     http::request_head out;
     out.method = m_head.method;
     out.target = m_head.target;
-    out.fields = Codec::writeServerFields(m_head, marks);
+    out.fields = Codec::writeServerFields(m_head, metadata);
     const bool hadFraming = http::findField(m_head.fields, "content-length")
         || http::findField(m_head.fields, "transfer-encoding");
     if (!m_body.empty() || hadFraming)
@@ -232,7 +233,7 @@
         return;
     }
     const bool whole = how == http::call_end::Complete;
-    const bool refused = m_answerMarks.notRun || m_answer.status == status::Misdirected;
+    const bool refused = m_responseMetadata.notExecuted || m_answer.status == status::Misdirected;
     if (whole && m_forwarding == forwarding_mode::Nothing && !m_headSent && refused) {
         onAttemptResult(attempt_result::NotRun);
         return;
@@ -240,7 +241,7 @@
     m_mayHaveRun = true;
     if (!whole || m_forwarding == forwarding_mode::Nothing || m_splitter.hasPartialEvent()) {
         if (how == http::call_end::Broken && mayHaveCrashedServer())
-            m_context.onBroken(*m_server, {m_digest, m_attemptStartedAt});
+            m_context.onConnectionBroken(*m_server, {m_digest, m_attemptStartedAt});
         onAttemptResult(attempt_result::Unknown);
         return;
     }
@@ -302,12 +303,12 @@
         return false;
     }
     if (what == attempt_result::NotSent)
-        return ++m_unsentAttempts < MaxUnsent;
+        return ++m_unsentAttempts < MaxUnsentAttempts;
     if (m_attempts >= m_route->maxAttempts) {
         logRetryDenied("attempts_used_up");
         return false;
     }
-    if (!m_context.allowance.tryTake(m_service)) {
+    if (!m_context.retryBudget.tryTake(m_service)) {
         logRetryDenied("budget_spent");
         return false;
     }
@@ -320,12 +321,12 @@
 void exchange<Codec>::avoidUnreachable(const data_center_id &where)
 {
     const auto &own = m_context.dataCenter;
-    if (where == own || ++m_unsentRemoteAttempts < MaxUnsentAway
+    if (where == own || ++m_unsentRemoteAttempts < MaxUnsentRemoteAttempts
         || !m_context.directory.usableIn(m_service, own))
         return;
     m_unreachableDataCenter = where;
     m_preferredDataCenter = choosePreferredDataCenter();
-    if (m_stageWork && hasResultsIn(where))
+    if (m_stageProgress && hasResultsIn(where))
         m_needsStages = mayRestartStages();
 }
 
@@ -338,13 +339,13 @@
         if (m_answer.status == status::Misdirected)
             server.gone = true;
         else if (m_answer.status == status::Conflict)
-            m_needsStages = m_stageWork.has_value() && !std::exchange(m_stagesRestarted, true);
+            m_needsStages = m_stageProgress.has_value() && !std::exchange(m_stagesRestarted, true);
     } else {
         m_context.directory.onFailure(server);
     }
     m_triedServers.push_back(server.record.id);
     m_answer.status = 0;
-    m_answerMarks = {};
+    m_responseMetadata = {};
     m_splitter.restart();
     if (what == attempt_result::NotSent)
         avoidUnreachable(server.record.dataCenter);
@@ -364,7 +365,7 @@
     if (sentThere && m_route->repeatable() && m_attempts < m_route->maxAttempts) {
         m_context.pool.abandon(m_call);
         onEnd(http::call_end::TimedOut);
-    } else if (m_call == 0 && !m_headSent && m_stageWork && hasResultsIn(dataCenter)) {
+    } else if (m_call == 0 && !m_headSent && m_stageProgress && hasResultsIn(dataCenter)) {
         if (mayRestartStages())
             restartStages("data_center_lost");
         else
@@ -404,12 +405,12 @@
     if (m_forwarding == forwarding_mode::Bytes || m_attempts >= m_route->maxAttempts)
         return;
     // Keeps waiting if no other server can be chosen.
-    server_wish wish;
-    wish.service = m_service;
-    wish.exclude = m_triedServers;
-    wish.exclude.push_back(m_server->record.id);
-    wish.allowed = m_residency;
-    if (!m_context.directory.choose(wish))
+    server_query query;
+    query.service = m_service;
+    query.exclude = m_triedServers;
+    query.exclude.push_back(m_server->record.id);
+    query.allowed = m_residency;
+    if (!m_context.directory.choose(query))
         return;
     m_context.pool.abandon(m_call);
     onEnd(http::call_end::TimedOut);
--- a/src/gateway/exchange/exchange_impl.h
+++ b/src/gateway/exchange/exchange_impl.h
@@ -34,8 +34,8 @@
 template <gateway_codec Codec>
 void exchange<Codec>::start()
 {
-    m_marks = Codec::readRequest(m_head);
-    m_context.metrics.onForgedFields(m_marks.forgedFields);
+    m_metadata = Codec::readRequest(m_head);
+    m_context.metrics.onReservedFields(m_metadata.reservedFields);
     m_client->onClientGone([self = this->shared_from_this()] { self->onClientGone(); });
     if (!m_configuration) {
         refuse(request_outcome::NoConfiguration);
@@ -44,13 +44,13 @@
     if (!findRoute())
         return;
     m_digest = requestDigestOf(
-        {m_customer ? m_customer->id : customer_id{}, m_marks.host, m_head.target, m_body});
+        {m_customer ? m_customer->id : customer_id{}, m_metadata.host, m_head.target, m_body});
     m_residency =
         residencyOf(m_route->regions, m_customer ? m_customer->regions : std::vector<region_id>{});
     logAccepted();
     m_priority = m_customer && m_customer->priority ? *m_customer->priority : m_route->priority;
-    const auto patience = m_marks.patience.value_or(m_route->timeout);
-    m_deadline = m_arrival + std::min(patience, m_route->timeout) - AnswerMargin;
+    const auto clientTimeout = m_metadata.clientTimeout.value_or(m_route->timeout);
+    m_deadline = m_arrival + std::min(clientTimeout, m_route->timeout) - AnswerMargin;
     if (timeLeft() <= milliseconds{0}) {
         refuse(request_outcome::DeadlineExpired);
         return;
@@ -60,7 +60,7 @@
         self->onTimeout();
     });
     m_service = pickService();
-    m_context.allowance.onRequest(m_service);
+    m_context.retryBudget.onRequest(m_service);
     if (m_route->stages.empty()) {
         attempt();
         return;
@@ -72,8 +72,9 @@
 template <gateway_codec Codec>
 bool exchange<Codec>::isSendingAllowed() const
 {
-    const auto level = m_context.quarantine.standingOf(m_digest).level;
-    return level == quarantine_level::Free || (level == quarantine_level::Suspected && m_hasTrial);
+    const auto level = m_context.quarantine.statusOf(m_digest).level;
+    return level == quarantine_level::Unrestricted
+        || (level == quarantine_level::Suspected && m_hasTrial);
 }
 
 // Only one repeat of a suspected request is tried at a time, on one server, so that at most this
@@ -81,8 +82,8 @@
 template <gateway_codec Codec>
 void exchange<Codec>::checkQuarantine(std::function<void()> next)
 {
-    const auto level = m_context.quarantine.standingOf(m_digest).level;
-    if (level == quarantine_level::Free) {
+    const auto level = m_context.quarantine.statusOf(m_digest).level;
+    if (level == quarantine_level::Unrestricted) {
         next();
         return;
     }
@@ -121,14 +122,14 @@
 {
     const std::string_view path =
         std::string_view(m_head.target).substr(0, m_head.target.find('?'));
-    m_route = m_configuration->findRoute(m_marks.host, path);
+    m_route = m_configuration->findRoute(m_metadata.host, path);
     if (!m_route) {
         respondWithStatus(status::NotFound, request_outcome::NoRoute);
         return false;
     }
     if (!m_configuration->needsKeys() || m_route->anonymous)
         return true;
-    m_customer = m_configuration->findCustomer(m_marks.key);
+    m_customer = m_configuration->findCustomer(m_metadata.key);
     if (!m_customer)
         respondWithStatus(status::Unauthorized, request_outcome::UnknownKey);
     return m_customer != nullptr;
@@ -174,19 +175,19 @@
 template <gateway_codec Codec>
 milliseconds exchange<Codec>::retryDelayFor(request_outcome outcome) const
 {
-    const auto quarantine = m_context.quarantine.standingOf(m_digest);
+    const auto quarantine = m_context.quarantine.statusOf(m_digest);
     if (quarantine.level == quarantine_level::Quarantined)
-        return quarantine.left;
-    if (outcome == request_outcome::Evacuated || outcome == request_outcome::OutOfRegion
+        return quarantine.remaining;
+    if (outcome == request_outcome::Evacuated || outcome == request_outcome::NoServerInRegion
         || outcome == request_outcome::ServersLeaving)
         return UnavailableRetryDelay;
     const bool roomKnown =
-        outcome == request_outcome::ServersLimited || outcome == request_outcome::ServersBackedOff;
+        outcome == request_outcome::ServersLimited || outcome == request_outcome::ServersBackingOff;
     if (roomKnown && m_capacityDelay > milliseconds{0})
         return m_capacityDelay;
     if (m_stagePools.empty())
         return RetryDelay;
-    const auto predicted = m_context.times.forecastOf(outline());
+    const auto predicted = m_context.latencyEstimator.forecastOf(outline());
     if (!predicted.hasBacklog)
         return RetryDelay;
     return std::max(RetryDelay,
@@ -262,7 +263,7 @@
 {
     const bool success = m_clientStatus >= status::Ok && m_clientStatus < status::FirstRedirect;
     if (outcome == request_outcome::Answered && success)
-        m_context.quarantine.onServed(m_digest);
+        m_context.quarantine.onRequestServed(m_digest);
     if (std::exchange(m_hasTrial, false))
         m_context.quarantine.endTrial(m_digest);
 }
@@ -276,7 +277,7 @@
     m_context.loop.cancelTimer(std::exchange(m_idleTimer, 0));
     endPlacement();
     cancelPieces();
-    freeResults();
+    freeStageResults();
     updateQuarantine(outcome);
     logEnd(outcome);
     m_context.metrics.onRequest(m_route, outcome, sinceArrival());
--- a/src/gateway/exchange/exchange_limits.h
+++ b/src/gateway/exchange/exchange_limits.h
@@ -33,10 +33,10 @@
 inline constexpr std::size_t MaxQueuedBytes = 256U << 10U;
 /// Most attempts of a request that reach no server. Each is for another server or on a connection
 /// that had been closed.
-inline constexpr std::uint32_t MaxUnsent = 4;
+inline constexpr std::uint32_t MaxUnsentAttempts = 4;
 /// Number of such attempts to servers of another data centre after which that data centre is
 /// treated as unreachable.
-inline constexpr std::uint32_t MaxUnsentAway = 2;
+inline constexpr std::uint32_t MaxUnsentRemoteAttempts = 2;
 /// Retry delay sent with a refusal: the duration of a few calls of a stage.
 inline constexpr milliseconds RetryDelay{400};
 /// Retry delay if all servers for the request are evacuated, shutting down or unreachable, which
--- a/src/gateway/exchange/exchange_log_impl.h
+++ b/src/gateway/exchange/exchange_log_impl.h
@@ -14,7 +14,7 @@
 wire::log_line exchange<Codec>::lineOf(log_event kind) const
 {
     auto line = m_context.log.line(wire::log_level::Info, toName(kind));
-    line.add("request", m_marks.attempt);
+    line.add("request", m_metadata.attempt);
     return line;
 }
 
@@ -47,17 +47,17 @@
 {
     if (!logsDecisions())
         return;
-    const auto sinceUpdate = m_context.loop.now() - m_context.published.heardAt();
+    const auto sinceUpdate = m_context.loop.now() - m_context.published.lastContactAt();
     auto line = lineOf(log_event::RequestTaken);
     line.add("route", m_route->name).add("kind", toName(m_route->kind));
     if (m_customer)
         line.add("customer", m_customer->id.value);
-    line.add("patience_ms", m_marks.patience.value_or(milliseconds{0}).count());
+    line.add("patience_ms", m_metadata.clientTimeout.value_or(milliseconds{0}).count());
     line.add("objective_ms", m_route->objective.count());
     line.add("configuration", m_configuration->version());
     line.add("published_age_ms", std::chrono::duration_cast<milliseconds>(sinceUpdate).count());
-    if (m_marks.forgedFields > 0)
-        line.add("forged_fields", m_marks.forgedFields);
+    if (m_metadata.reservedFields > 0)
+        line.add("forged_fields", m_metadata.reservedFields);
     m_context.log.write(wire::log_level::Info, std::move(line));
 }
 
@@ -68,11 +68,12 @@
         return;
     const auto &spec = m_route->stages[stage];
     const auto due = m_arrival + m_route->objective - m_timesAfterStages[stage];
-    const auto aimLeft = std::chrono::duration_cast<milliseconds>(due - m_context.loop.now());
+    const auto softDeadlineLeft =
+        std::chrono::duration_cast<milliseconds>(due - m_context.loop.now());
     auto line = lineOf(log_event::StageSubmitted);
     line.add("stage", stage).add("service", spec.service.value).add("pieces", pieces);
     line.add("host", m_context.stages.hostOf(m_stagePools[stage]).value);
-    line.add("aim_left_ms", aimLeft.count()).add("at_ms", sinceArrival().count());
+    line.add("aim_left_ms", softDeadlineLeft.count()).add("at_ms", sinceArrival().count());
     m_decisions.add(std::move(line));
 }
 
@@ -86,11 +87,11 @@
     line.add("usable", m_context.directory.usable(m_service).size());
     line.add("outstanding", m_server->outstanding).add("failures", m_server->failures);
     if (m_server->load) {
-        const auto age = m_context.loop.now() - m_server->loadAt;
+        const auto age = m_context.loop.now() - m_server->loadReportedAt;
         line.add("running", m_server->load->running).add("waiting", m_server->load->waiting);
         line.add("load_age_ms", std::chrono::duration_cast<milliseconds>(age).count());
     }
-    if (m_server->saidLeaving)
+    if (m_server->announcedLeaving)
         line.add("said_leaving", "yes");
     const auto now = m_context.loop.now();
     if (now < m_server->backoffUntil)
@@ -140,9 +141,9 @@
 
 // Logged only if a limit affected the placement. Otherwise the line about the attempt is enough.
 template <gateway_codec Codec>
-void exchange<Codec>::logPlaced(const placed_request &placed)
+void exchange<Codec>::logPlaced(const placement_result &placed)
 {
-    if (!logsDecisions() || (!placed.allBounded && placed.wait == milliseconds{0}))
+    if (!logsDecisions() || (!placed.allRateLimited && placed.wait == milliseconds{0}))
         return;
     auto line = lineOf(log_event::TurnAnswered);
     line.add("service", m_service.value);
@@ -165,7 +166,7 @@
 {
     if (!logsDecisions())
         return;
-    if (!succeededInTime(outcome) || m_context.lines.tryTake(m_decisions.size()))
+    if (!succeededInTime(outcome) || m_context.logLimiter.tryTake(m_decisions.size()))
         m_decisions.write(m_context.log);
     auto line = lineOf(log_event::Request);
     line.add("outcome", toName(outcome));
--- a/src/gateway/exchange/exchange_stages_impl.h
+++ b/src/gateway/exchange/exchange_stages_impl.h
@@ -14,8 +14,8 @@
 template <gateway_codec Codec>
 void exchange<Codec>::startStages()
 {
-    m_stageWork = stage_work::create(*m_route, m_marks);
-    if (!m_stageWork) {
+    m_stageProgress = stage_progress::create(*m_route, m_metadata);
+    if (!m_stageProgress) {
         respondWithStatus(status::BadRequest, request_outcome::InvalidPieceCounts);
         return;
     }
@@ -39,13 +39,13 @@
 template <gateway_codec Codec>
 void exchange<Codec>::requestAdmission()
 {
-    auto wish = makeWish();
-    if (!m_context.placer.needsAdmission(wish.pool)) {
+    auto query = makeQuery();
+    if (!m_context.placer.needsAdmission(query.pool)) {
         submitReadyPieces();
         return;
     }
     m_placement = m_context.placer.askAdmission(
-        std::move(wish), [self = this->shared_from_this()](const admission &answer) {
+        std::move(query), [self = this->shared_from_this()](const admission &answer) {
             if (!self->m_done)
                 self->onAdmission(answer);
         });
@@ -60,7 +60,7 @@
         submitReadyPieces();
         return;
     }
-    m_capacityDelay = answer.comeBack;
+    m_capacityDelay = answer.retryDelay;
     refuse(request_outcome::ServersLimited);
 }
 
@@ -74,26 +74,26 @@
     const auto &directory = m_context.directory;
     if (!m_residency.allows(directory.regionOf(own)) || !directory.usableIn(m_service, own))
         return chooseRemoteDataCenter();
-    if (m_context.without.contains(policy::PromptHomes))
+    if (m_context.disabledPolicies.contains(policy::PromptAffinity))
         return own;
     if (!m_route->prefixAffinity
         || m_context.placer.poolFor(m_service, own, m_residency).dataCenter.empty())
         return own;
-    const auto home = homeOf(m_marks.prompt, preferredEngines());
-    if (!home || *home == own || *home == m_unreachableDataCenter)
+    const auto preferred = preferredDataCenterOf(m_metadata.prompt, preferredEngines());
+    if (!preferred || *preferred == own || *preferred == m_unreachableDataCenter)
         return own;
     for (std::size_t i = 0; i < m_route->stages.size(); ++i) {
-        if (m_marks.pieceCounts[i] == 0)
+        if (m_metadata.pieceCounts[i] == 0)
             continue;
         const auto &service = m_route->stages[i].service;
-        const auto there = stagePool(service, *home);
+        const auto there = stagePool(service, *preferred);
         const auto here = stagePool(service, own);
-        const auto longer = m_context.times.remainingWait(there, stageRank())
-            - m_context.times.remainingWait(here, stageRank());
+        const auto longer = m_context.latencyEstimator.remainingWait(there, stageRank())
+            - m_context.latencyEstimator.remainingWait(here, stageRank());
         if (longer > MaxExtraStageWait)
             return own;
     }
-    return *home;
+    return *preferred;
 }
 
 // With four data centres, the nodes of an evacuated data centre, or of one that lost its servers,
@@ -105,9 +105,9 @@
     const auto engines = preferredEngines();
     if (engines.empty())
         return m_context.dataCenter;
-    if (m_route->prefixAffinity && !m_context.without.contains(policy::PromptHomes)) {
-        if (const auto home = homeOf(m_marks.prompt, engines))
-            return *home;
+    if (m_route->prefixAffinity && !m_context.disabledPolicies.contains(policy::PromptAffinity)) {
+        if (const auto preferred = preferredDataCenterOf(m_metadata.prompt, engines))
+            return *preferred;
     }
     const auto drawn =
         std::uniform_int_distribution<std::size_t>(0, engines.size() - 1)(m_context.random);
@@ -121,7 +121,7 @@
 {
     auto engines = m_context.directory.usable(m_service, m_residency);
     const auto now = m_context.loop.now();
-    const auto backsOff = [&](const server_ptr &each) { return !each->takes(now); };
+    const auto backsOff = [&](const server_ptr &each) { return !each->accepts(now); };
     if (!std::ranges::all_of(engines, backsOff))
         std::erase_if(engines, backsOff);
     const auto region = m_context.directory.regionOf(m_context.dataCenter);
@@ -132,9 +132,10 @@
 }
 
 template <gateway_codec Codec>
-pool_key exchange<Codec>::stagePool(const service_id &service, const data_center_id &near)
+pool_key exchange<Codec>::stagePool(const service_id &service,
+                                    const data_center_id &preferredDataCenter)
 {
-    return m_context.stages.poolFor(service, near, m_residency);
+    return m_context.stages.poolFor(service, preferredDataCenter, m_residency);
 }
 
 template <gateway_codec Codec>
@@ -151,15 +152,15 @@
 template <gateway_codec Codec>
 std::optional<request_outcome> exchange<Codec>::absenceReason(const service_id &service) const
 {
-    switch (m_context.directory.absenceOf(service, m_residency)) {
-    case server_absence::Leaving:
+    switch (m_context.directory.unavailabilityOf(service, m_residency)) {
+    case unavailability::Leaving:
         return request_outcome::ServersLeaving;
-    case server_absence::Evacuated:
+    case unavailability::Evacuated:
         return request_outcome::Evacuated;
-    case server_absence::OutOfRegion:
-        return request_outcome::OutOfRegion;
-    case server_absence::Gone:
-    case server_absence::None:
+    case unavailability::NoServerInRegion:
+        return request_outcome::NoServerInRegion;
+    case unavailability::NoneReachable:
+    case unavailability::None:
         break;
     }
     return std::nullopt;
@@ -174,7 +175,7 @@
     if (!wait)
         return std::nullopt;
     m_capacityDelay = *wait;
-    return request_outcome::ServersBackedOff;
+    return request_outcome::ServersBackingOff;
 }
 
 // Stage servers ask the host of their pool to back off. The host reports that to this node when it
@@ -189,7 +190,7 @@
     if (!wait)
         return std::nullopt;
     m_capacityDelay = *wait;
-    return request_outcome::ServersBackedOff;
+    return request_outcome::ServersBackingOff;
 }
 
 // Absent servers without a known reason don't count, because they may return or be replaced soon.
@@ -198,7 +199,7 @@
 {
     auto why = unservableReason();
     for (std::size_t i = 0; i < m_route->stages.size() && !why; ++i) {
-        if (m_marks.pieceCounts[i] > 0)
+        if (m_metadata.pieceCounts[i] > 0)
             why = unservableReason(i);
     }
     return why;
@@ -207,7 +208,8 @@
 template <gateway_codec Codec>
 request_outline exchange<Codec>::outline() const
 {
-    return {*m_configuration, *m_route, m_service, stageRank(), m_stagePools, m_marks.pieceCounts};
+    return {*m_configuration, *m_route,     m_service,
+            stageRank(),      m_stagePools, m_metadata.pieceCounts};
 }
 
 // Checked before any work is done. If the servers have no backlog, the request is served late
@@ -215,31 +217,31 @@
 template <gateway_codec Codec>
 bool exchange<Codec>::isPredictedLate() const
 {
-    const auto predicted = m_context.times.forecastOf(outline());
+    const auto predicted = m_context.latencyEstimator.forecastOf(outline());
     return predicted.hasBacklog && predicted.timeToAnswer > m_route->objective;
 }
 
 template <gateway_codec Codec>
 void exchange<Codec>::submitReadyPieces()
 {
-    if (m_stageWork->done()) {
+    if (m_stageProgress->done()) {
         onStagesDone();
         return;
     }
     const auto request = outline();
-    auto stageTimes = m_context.times.stageTimes(request);
-    m_timesAfterStages = m_context.times.timesAfterStages(request, stageTimes);
-    if (m_context.without.contains(policy::LateLeafStages))
+    auto stageTimes = m_context.latencyEstimator.stageTimes(request);
+    m_timesAfterStages = m_context.latencyEstimator.timesAfterStages(request, stageTimes);
+    if (m_context.disabledPolicies.contains(policy::LateLeafStages))
         std::ranges::fill(stageTimes, std::chrono::microseconds{0});
     std::map<std::uint32_t, std::size_t> submitted; // pieces by stage, for the log
-    for (auto &each : m_stageWork->takeReady(stageTimes)) {
-        piece_job job;
+    for (auto &each : m_stageProgress->takeReadyPieces(stageTimes)) {
+        piece_task job;
         const auto stage = each.request.stage;
         const auto piece = each.request.piece;
         ++submitted[stage];
         m_stageSubmittedAt[stage] = m_context.loop.now();
         job.rank = stageRank();
-        job.aim = m_arrival + m_route->objective - m_timesAfterStages[stage];
+        job.softDeadline = m_arrival + m_route->objective - m_timesAfterStages[stage];
         job.deadline = m_deadline - m_timesAfterStages[stage];
         job.inputBytes = each.inputBytes;
         job.resultBytes = m_route->stages[stage].resultBytes;
@@ -248,9 +250,9 @@
         const auto inputsIn = job.request.inputs.empty()
             ? m_preferredDataCenter
             : resultLocation(job.request.inputs.front());
-        job.near = usableDataCenter(inputsIn, each.service);
+        job.preferredDataCenter = usableDataCenter(inputsIn, each.service);
         job.allowed = m_residency;
-        m_stagePools[stage] = stagePool(each.service, job.near);
+        m_stagePools[stage] = stagePool(each.service, job.preferredDataCenter);
         auto handler = [self = this->shared_from_this(), stage, piece](piece_report report) {
             self->onPiece(stage, piece, std::move(report));
         };
@@ -265,17 +267,18 @@
 void exchange<Codec>::onPiece(std::uint32_t stage, std::uint32_t piece, piece_report report)
 {
     const auto *failed = std::get_if<piece_failure>(&report.result);
-    const bool backedOff = failed && *failed == piece_failure::ServersBackedOff;
-    if (!backedOff && !m_context.without.contains(policy::ToldWaits))
-        m_context.times.onReportedWait(m_stagePools[stage], stageRank(), report.wait);
+    const bool backedOff = failed && *failed == piece_failure::ServersBackingOff;
+    if (!backedOff && !m_context.disabledPolicies.contains(policy::ReportedWaits))
+        m_context.latencyEstimator.onReportedWait(m_stagePools[stage], stageRank(), report.wait);
     if (m_done)
         return;
     if (auto *handle = std::get_if<std::string>(&report.result)) {
-        if (m_stageWork->onResult(stage, piece, std::move(*handle)))
-            m_context.times.onStage(m_stagePools[stage], stageRank(),
-                                    std::chrono::duration_cast<std::chrono::microseconds>(
-                                        m_context.loop.now() - m_stageSubmittedAt[stage]));
-        m_context.stages.free(m_stageWork->takeSpent());
+        if (m_stageProgress->onResult(stage, piece, std::move(*handle)))
+            m_context.latencyEstimator.onStage(
+                m_stagePools[stage], stageRank(),
+                std::chrono::duration_cast<std::chrono::microseconds>(m_context.loop.now()
+                                                                      - m_stageSubmittedAt[stage]));
+        m_context.stages.freeResults(m_stageProgress->takeUnneededHandles());
         submitReadyPieces();
         return;
     }
@@ -306,7 +309,7 @@
 template <gateway_codec Codec>
 bool exchange<Codec>::hasResultsIn(const data_center_id &dataCenter) const
 {
-    return std::ranges::any_of(m_stageWork->allHandles(), [&](const std::string &each) {
+    return std::ranges::any_of(m_stageProgress->allHandles(), [&](const std::string &each) {
         return resultLocation(each) == dataCenter;
     });
 }
@@ -318,10 +321,10 @@
         m_decisions.add(lineOf(log_event::StagesRestarted).add("reason", reason));
     endPlacement();
     cancelPieces();
-    freeResults();
+    freeStageResults();
     m_needsStages = false;
     m_preferredDataCenter = choosePreferredDataCenter();
-    m_stageWork->restart();
+    m_stageProgress->restart();
     submitReadyPieces();
 }
 
@@ -343,17 +346,17 @@
 }
 
 template <gateway_codec Codec>
-void exchange<Codec>::freeResults()
+void exchange<Codec>::freeStageResults()
 {
-    if (!m_stageWork || m_needsStages)
+    if (!m_stageProgress || m_needsStages)
         return;
-    m_context.stages.free(m_stageWork->allHandles());
+    m_context.stages.freeResults(m_stageProgress->allHandles());
 }
 
 template <gateway_codec Codec>
 data_center_id exchange<Codec>::resultLocation(const std::string &handle) const
 {
-    const auto holder = parseSocketAddress(holderOf(handle));
+    const auto holder = parseSocketAddress(resultServerAddress(handle));
     const auto server = holder ? m_context.directory.findAt(*holder) : nullptr;
     return server ? server->record.dataCenter : data_center_id{};
 }
--- a/src/gateway/exchange/time_estimates.cpp
+++ b/src/gateway/exchange/latency_estimator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange/time_estimates.h"
+#include "gateway/exchange/latency_estimator.h"
 
 #include <algorithm>
 
@@ -25,14 +25,14 @@
 
 } // namespace
 
-void time_estimates::onFirstAnswer(const service_id &service, std::chrono::microseconds took)
+void latency_estimator::onFirstToken(const service_id &service, std::chrono::microseconds took)
 {
     const auto [entry, isNew] = m_firstAnswerTimes.try_emplace(
         service, static_cast<double>(DefaultFirstAnswerTime.count()));
     entry->second += FirstAnswerWeight * (static_cast<double>(took.count()) - entry->second);
 }
 
-std::chrono::microseconds time_estimates::firstAnswerTime(const service_id &service) const
+std::chrono::microseconds latency_estimator::firstAnswerTime(const service_id &service) const
 {
     const auto found = m_firstAnswerTimes.find(service);
     if (found == m_firstAnswerTimes.end())
@@ -40,8 +40,8 @@
     return std::chrono::microseconds{static_cast<std::int64_t>(found->second)};
 }
 
-void time_estimates::onStage(const pool_key &pool, const stage_rank &rank,
-                             std::chrono::microseconds took)
+void latency_estimator::onStage(const pool_key &pool, const stage_rank &rank,
+                                std::chrono::microseconds took)
 {
     auto &estimate = m_stageAverages[{pool, rank}];
     const auto newest = static_cast<double>(took.count());
@@ -51,13 +51,14 @@
     estimate.at = m_clock.now();
 }
 
-void time_estimates::onReportedWait(const pool_key &pool, const stage_rank &rank, milliseconds wait)
+void latency_estimator::onReportedWait(const pool_key &pool, const stage_rank &rank,
+                                       milliseconds wait)
 {
     m_reportedWaits[{pool, rank}] = {wait, m_clock.now()};
 }
 
-std::chrono::microseconds time_estimates::remainingWait(const pool_key &pool,
-                                                        const stage_rank &rank) const
+std::chrono::microseconds latency_estimator::remainingWait(const pool_key &pool,
+                                                           const stage_rank &rank) const
 {
     const auto found = m_reportedWaits.find({pool, rank});
     if (found == m_reportedWaits.end())
@@ -68,9 +69,9 @@
                     std::chrono::duration_cast<std::chrono::microseconds>(left));
 }
 
-std::chrono::microseconds time_estimates::stageTime(const service_spec *service,
-                                                    const pool_key &pool,
-                                                    const stage_rank &rank) const
+std::chrono::microseconds latency_estimator::stageTime(const service_spec *service,
+                                                       const pool_key &pool,
+                                                       const stage_rank &rank) const
 {
     const auto minimum = halfBatchCallTime(service) + remainingWait(pool, rank);
     const auto found = m_stageAverages.find({pool, rank});
@@ -80,7 +81,7 @@
                     std::chrono::microseconds{static_cast<std::int64_t>(found->second.average)});
 }
 
-std::chrono::microseconds time_estimates::halfBatchCallTime(const service_spec *service)
+std::chrono::microseconds latency_estimator::halfBatchCallTime(const service_spec *service)
 {
     if (!service || !service->stage)
         return RoundTripTime;
@@ -89,7 +90,7 @@
 }
 
 std::vector<std::chrono::microseconds>
-time_estimates::stageTimes(const request_outline &request) const
+latency_estimator::stageTimes(const request_outline &request) const
 {
     std::vector<std::chrono::microseconds> times;
     times.reserve(request.pools.size());
@@ -102,7 +103,7 @@
     return times;
 }
 
-time_estimates::forecast time_estimates::forecastOf(const request_outline &request) const
+latency_estimator::forecast latency_estimator::forecastOf(const request_outline &request) const
 {
     forecast estimate;
     const auto times = stageTimes(request);
@@ -119,8 +120,8 @@
 }
 
 std::vector<std::chrono::microseconds>
-time_estimates::timesAfterStages(const request_outline &request,
-                                 const std::vector<std::chrono::microseconds> &stageTimes) const
+latency_estimator::timesAfterStages(const request_outline &request,
+                                    const std::vector<std::chrono::microseconds> &stageTimes) const
 {
     const auto &stages = request.routeSpec.stages;
     std::vector<std::chrono::microseconds> after(stages.size(), firstAnswerTime(request.service));
--- a/src/gateway/exchange/time_estimates.h
+++ b/src/gateway/exchange/latency_estimator.h
@@ -30,15 +30,15 @@
 
 /// Estimates the remaining time of a request from the recent times of requests with the same rank
 /// and from the queue waits that the hosts of stage pools report.
-class time_estimates
+class latency_estimator
 {
 public:
-    explicit time_estimates(const clock_source &clock)
+    explicit latency_estimator(const clock_source &clock)
         : m_clock(clock)
     { }
 
     /// Records the time from sending a request to its first answer.
-    void onFirstAnswer(const service_id &service, std::chrono::microseconds took);
+    void onFirstToken(const service_id &service, std::chrono::microseconds took);
     /// Returns the average time from sending to the first answer, or a default if none was
     /// recorded.
     [[nodiscard]] std::chrono::microseconds firstAnswerTime(const service_id &service) const;
--- a/src/gateway/exchange/request_log.cpp
+++ b/src/gateway/exchange/request_log.cpp
@@ -24,12 +24,12 @@
         log.write(wire::log_level::Info, std::move(line));
 }
 
-line_allowance::line_allowance(const clock_source &clock, std::uint32_t linesPerSecond)
+log_rate_limiter::log_rate_limiter(const clock_source &clock, std::uint32_t linesPerSecond)
     : m_clock(clock)
     , m_linesPerSecond(linesPerSecond)
 { }
 
-bool line_allowance::tryTake(std::size_t lines)
+bool log_rate_limiter::tryTake(std::size_t lines)
 {
     const auto now = m_clock.now();
     if (now - m_secondStart >= std::chrono::seconds{1}) {
@@ -44,7 +44,7 @@
     return true;
 }
 
-std::uint64_t line_allowance::takeLeftOut()
+std::uint64_t log_rate_limiter::takeDroppedCount()
 {
     return std::exchange(m_refusedLines, 0);
 }
--- a/src/gateway/exchange/request_log.h
+++ b/src/gateway/exchange/request_log.h
@@ -26,16 +26,16 @@
 
 /// Limits the number of log lines per second about successful requests. Lines about other requests
 /// are not limited.
-class line_allowance
+class log_rate_limiter
 {
 public:
-    line_allowance(const clock_source &clock, std::uint32_t linesPerSecond);
+    log_rate_limiter(const clock_source &clock, std::uint32_t linesPerSecond);
 
     /// Reserves `lines` lines of the current second. Returns false and reserves none if they exceed
     /// the limit.
     [[nodiscard]] bool tryTake(std::size_t lines);
     /// Returns the number of lines that were refused since the last call.
-    [[nodiscard]] std::uint64_t takeLeftOut();
+    [[nodiscard]] std::uint64_t takeDroppedCount();
 
 private:
     const clock_source &m_clock;
--- a/src/gateway/exchange/request_outcome.h
+++ b/src/gateway/exchange/request_outcome.h
@@ -19,10 +19,10 @@
     InvalidPieceCounts, ///< the numbers of pieces do not match the route's stages
     DeadlineExpired, ///< the client's timeout had passed when the request arrived
     NoServer,
-    OutOfRegion, ///< no reachable server in the regions where the request may be processed
+    NoServerInRegion, ///< no reachable server in the regions where the request may be processed
     Evacuated, ///< operators have evacuated all data centres that could serve the request
     ServersLeaving, ///< all eligible servers are about to shut down
-    ServersBackedOff, ///< all eligible servers asked this node or a stage's host to back off
+    ServersBackingOff, ///< all eligible servers asked this node or a stage's host to back off
     ServersLimited, ///< all servers that may be tried are at their rate limit
     ServersFull, ///< all servers that may be tried refused the request
     ServerFailed, ///< the answer was missing or broken
@@ -45,13 +45,13 @@
         return request_outcome::Evacuated;
     case piece_failure::ServersLeaving:
         return request_outcome::ServersLeaving;
-    case piece_failure::ServersBackedOff:
-        return request_outcome::ServersBackedOff;
+    case piece_failure::ServersBackingOff:
+        return request_outcome::ServersBackingOff;
     case piece_failure::InputGone:
     case piece_failure::NoRoom:
     case piece_failure::Error:
-    case piece_failure::HostUnready:
-    case piece_failure::Unreached:
+    case piece_failure::HostNotReady:
+    case piece_failure::ServersUnreachable:
         break;
     }
     return request_outcome::StageFailed;
@@ -78,13 +78,13 @@
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
         orchidlead::gateway::request_outcome::NoServer, "no_server"},
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
-        orchidlead::gateway::request_outcome::OutOfRegion, "out_of_region"},
+        orchidlead::gateway::request_outcome::NoServerInRegion, "out_of_region"},
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
         orchidlead::gateway::request_outcome::Evacuated, "evacuated"},
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
         orchidlead::gateway::request_outcome::ServersLeaving, "servers_leaving"},
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
-        orchidlead::gateway::request_outcome::ServersBackedOff, "servers_backed_off"},
+        orchidlead::gateway::request_outcome::ServersBackingOff, "servers_backed_off"},
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
         orchidlead::gateway::request_outcome::ServersLimited, "servers_limited"},
     orchidlead::enum_name<orchidlead::gateway::request_outcome>{
--- a/src/gateway/exchange/early_requests.h
+++ b/src/gateway/exchange/startup_queue.h
@@ -11,7 +11,7 @@
 namespace orchidlead::gateway {
 
 /// A request as received from its client.
-struct arrived_request
+struct received_request
 {
     http::inbound_ptr client;
     http::request_head head;
@@ -25,22 +25,22 @@
 /// not these are ready. A node knows its servers about one second after its start. If it refused
 /// requests until then, most retries would arrive too early as well. Only requests with a long
 /// enough timeout are held, and only a limited number of them.
-class early_requests
+class startup_queue
 {
 public:
-    explicit early_requests(const clock_source &clock);
+    explicit startup_queue(const clock_source &clock);
 
-    /// Holds a request whose client waits for `patience`. Returns false and leaves `request`
+    /// Holds a request whose client waits for `clientTimeout`. Returns false and leaves `request`
     /// unchanged if it cannot be held.
-    [[nodiscard]] bool hold(arrived_request &request, milliseconds patience);
+    [[nodiscard]] bool tryEnqueue(received_request &request, milliseconds clientTimeout);
     /// Removes and returns the requests to be served or refused now: all of them if the node is
     /// `prepared`. Drops requests whose clients have disconnected.
-    [[nodiscard]] std::vector<arrived_request> takeDue(bool prepared);
+    [[nodiscard]] std::vector<received_request> dequeueDue(bool prepared);
 
 private:
     struct held_request
     {
-        arrived_request request;
+        received_request request;
         steady_time until; ///< refused then if the node is still not prepared
     };
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "gateway/exchange/early_requests.h"
 #include "gateway/exchange/exchange.h"
+#include "gateway/exchange/startup_queue.h"
 #include "gateway/peers/lost_data_center_relay.h"
 #include "gateway/publication/publication_relay.h"
 #include "gateway/publication/published_state.h"
-#include "gateway/publication/store_follower.h"
-#include "gateway/quarantine/server_end_observer.h"
-#include "gateway/servers/leaving_relay.h"
+#include "gateway/publication/store_reader.h"
+#include "gateway/quarantine/server_crash_detector.h"
+#include "gateway/servers/leaving_server_relay.h"
 #include "gateway/settings.h"
 #include "gateway/stages/stage_router.h"
 #include "http/listener.h"
@@ -33,24 +33,24 @@
 
 private:
     /// Whether the node has the configuration and server list that it needs to serve requests.
-    [[nodiscard]] bool prepared() const { return m_state.current() && m_state.listed(); }
-    void begin(arrived_request &&request);
+    [[nodiscard]] bool prepared() const { return m_state.current() && m_state.hasServerList(); }
+    void begin(received_request &&request);
     void releaseEarlyRequests();
 
     [[nodiscard]] std::optional<http::listen_error> listen();
     void onRequest(const http::inbound_ptr &client, http::request_head &&head, std::string &&body);
     void onReadinessRequest(const http::inbound_ptr &client, const http::request_head &head);
     void onConfiguration(const configuration_ptr &configuration);
-    void onNews(const publication_news &news);
-    void onDoubt(const server &which, bool avoided);
+    void onPublicationEvent(const publication_event &news);
+    void onAvoidanceChanged(const server &which, bool avoided);
     void onRateLimitChanged(const server &which, std::optional<double> before);
-    void onLeavingSaid(const server &which);
+    void onLeavingAnnounced(const server &which);
     void onLeavingReported(const server_start &start, const vm_id &from);
-    void onBackoff(const server &which, milliseconds time);
+    void onBackoffRequested(const server &which, milliseconds time);
     void onReachability(const reachability_event &event);
     void probeServerIn(const data_center_id &dataCenter);
-    void onBroken(const server &which, const interrupted_request &request);
-    void onConnectOutcome(const server_end &what, http::connect_outcome outcome);
+    void onConnectionBroken(const server &which, const in_flight_request &request);
+    void onProbeResult(const server_crash &what, http::connect_outcome outcome);
     void logPeriodicSummary();
     void onFrame(const std::shared_ptr<peer_link> &link, peer_frame &&frame);
     [[nodiscard]] gateway_gauges gauges();
@@ -64,19 +64,19 @@
     gateway_metrics m_metrics;
     http::connection_pool m_pool;
     server_directory m_directory;
-    retry_allowance m_allowance;
-    line_allowance m_lines;
+    retry_budget m_retryBudget;
+    log_rate_limiter m_logLimiter;
     stage_host<Codec> m_stages;
     peer_network m_peers;
     stage_router<Codec> m_router;
     request_placer m_placer;
     quarantine_relay m_quarantine;
-    leaving_relay m_leaving;
+    leaving_server_relay m_leaving;
     lost_data_center_relay<peer_network> m_lostDataCenterRelay;
     published_state m_state;
-    store_follower<Codec> m_follower;
+    store_reader<Codec> m_follower;
     publication_relay<Codec> m_relay;
-    server_end_observer m_serverEnds;
+    server_crash_detector m_crashDetector;
     gateway_context<Codec> m_context;
     std::shared_ptr<http::inbound_shared> m_clients;
     std::shared_ptr<http::inbound_shared> m_probes;
@@ -84,11 +84,11 @@
     std::unique_ptr<http::listener> m_readinessListener;
     std::vector<std::weak_ptr<exchange<Codec>>> m_exchanges; ///< open and ended exchanges
     std::size_t m_sweepThreshold = 0;
-    early_requests m_earlyRequests;
+    startup_queue m_startupQueue;
     bool m_wasReady = false;
     steady_time m_nextSummary{};
     steady_time m_configurationSince{};
-    std::map<service_id, retry_allowance::usage> m_retries; ///< as of the last summary
+    std::map<service_id, retry_budget::usage> m_retries; ///< as of the last summary
     bool m_stopping = false;
     steady_time m_stopBegan{};
 };
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -34,7 +34,7 @@
 inline constexpr std::size_t MinAssumedNodes = 8;
 
 /// Largest random extension of a server's backoff time, as a fraction of it. It keeps the nodes
-/// that were told to back off at the same time from returning at once.
+/// that got the same backoff request at the same time from returning at once.
 inline constexpr double MaxBackoffSpread = 0.25;
 
 /// Path of the metrics at the readiness address.
@@ -56,8 +56,8 @@
     return static_cast<std::uint32_t>(std::hash<std::string>{}(vm.value));
 }
 
-/// Returns the position of a VM in the turns of `retry_allowance`, in [0, 1).
-[[nodiscard]] inline double drawTurn(const vm_id &vm)
+/// Returns the position of a VM in the turns of `retry_budget`, in [0, 1).
+[[nodiscard]] inline double drawRotationOffset(const vm_id &vm)
 {
     std::mt19937 random(seedOf(vm));
     return std::uniform_real_distribution<double>(0.0, 1.0)(random);
@@ -70,11 +70,11 @@
     , m_settings(std::move(settings))
     , m_pool(loop)
     , m_directory(loop.clock())
-    , m_allowance(loop.clock(),
-                  {m_settings.bounds.retryShare, m_settings.bounds.retryReserve,
-                   m_settings.bounds.retryWindow, drawTurn(m_settings.vm)})
-    , m_lines(loop.clock(), m_settings.requestLines)
-    , m_stages(loop, m_pool, m_directory, m_allowance, log, m_metrics)
+    , m_retryBudget(loop.clock(),
+                    {m_settings.bounds.retryShare, m_settings.bounds.retryReserve,
+                     m_settings.bounds.retryWindow, drawRotationOffset(m_settings.vm)})
+    , m_logLimiter(loop.clock(), m_settings.requestLines)
+    , m_stages(loop, m_pool, m_directory, m_retryBudget, log, m_metrics)
     , m_peers(loop, log, m_settings, drawIncarnation(loop.clock()),
               {[this](const std::shared_ptr<peer_link> &link, peer_frame &&frame) {
                    onFrame(link, std::move(frame));
@@ -97,8 +97,8 @@
                                  .add("host", host.value));
                },
                [this](const reachability_event &event) { onReachability(event); }})
-    , m_router(loop, log, m_peers, m_stages, m_directory, m_allowance, m_settings)
-    , m_placer(loop, m_peers, m_directory, m_settings.without)
+    , m_router(loop, log, m_peers, m_stages, m_directory, m_retryBudget, m_settings)
+    , m_placer(loop, m_peers, m_directory, m_settings.disabledPolicies)
     , m_quarantine(loop, m_peers, log)
     , m_leaving(
           m_peers, m_directory,
@@ -107,16 +107,17 @@
     , m_state(loop.clock(), m_directory, RemovalDelay)
     , m_follower(
           loop, m_pool, m_settings.store, m_state,
-          [this](const publication_news &news) { onNews(news); }, log, seedOf(m_settings.vm),
-          storeOptionsFor(m_settings.bounds.publicationApply))
+          [this](const publication_event &news) { onPublicationEvent(news); }, log,
+          seedOf(m_settings.vm), storeOptionsFor(m_settings.bounds.publicationApply))
     , m_relay(
           loop, m_peers, m_directory, m_state, m_follower,
-          [this](const publication_news &news) { onNews(news); }, log, seedOf(m_settings.vm))
-    , m_serverEnds(loop.clock())
+          [this](const publication_event &news) { onPublicationEvent(news); }, log,
+          seedOf(m_settings.vm))
+    , m_crashDetector(loop.clock())
     , m_context{loop,
                 m_pool,
                 m_directory,
-                m_allowance,
+                m_retryBudget,
                 m_peers,
                 m_router,
                 m_placer,
@@ -124,28 +125,30 @@
                 log,
                 m_metrics,
                 m_state,
-                m_lines,
+                m_logLimiter,
                 m_settings.dataCenter,
-                m_settings.without,
+                m_settings.disabledPolicies,
                 nullptr,
-                time_estimates{loop.clock()},
+                latency_estimator{loop.clock()},
                 std::minstd_rand{seedOf(m_settings.vm)},
-                [this](const server &which, const interrupted_request &request) {
-                    onBroken(which, request);
+                [this](const server &which, const in_flight_request &request) {
+                    onConnectionBroken(which, request);
                 }}
     , m_clients(std::make_shared<http::inbound_shared>())
     , m_probes(std::make_shared<http::inbound_shared>())
-    , m_earlyRequests(loop.clock())
+    , m_startupQueue(loop.clock())
 {
-    m_allowance.setNodes(MinAssumedNodes);
+    m_retryBudget.setNodes(MinAssumedNodes);
     m_directory.setSelf(m_settings.vm);
     m_directory.setRegions(m_settings.regions);
     m_stages.setRateShare([this](const pool_key &pool) { return m_peers.rateShare(pool); });
-    m_router.setPrepared([this] { return m_state.listed(); });
-    m_stages.setWaitsForNear(!m_settings.without.contains(policy::WaitForNear));
-    m_stages.setQuarantine(m_context.onBroken, [this](const request_digest &request) {
-        return m_quarantine.standingOf(request).level == quarantine_level::Free;
-    });
+    m_router.setReadinessCheck([this] { return m_state.hasServerList(); });
+    m_stages.setWaitsForLocalServer(
+        !m_settings.disabledPolicies.contains(policy::WaitForLocalServer));
+    m_stages.setQuarantineCallbacks(
+        m_context.onConnectionBroken, [this](const request_digest &request) {
+            return m_quarantine.statusOf(request).level == quarantine_level::Unrestricted;
+        });
     m_state.onConfiguration([this](const configuration_ptr &each) { onConfiguration(each); });
     m_directory.onChange([this](const service_id &service) {
         m_stages.onServersChanged(service);
@@ -154,23 +157,24 @@
     m_directory.setBackoffSpread([this] {
         return std::uniform_real_distribution<double>(0.0, MaxBackoffSpread)(m_context.random);
     });
-    m_follower.onRead([this](const store_news &news) { m_relay.onStoreNews(news); });
-    m_directory.onHeard([this](const data_center_id &from) {
-        m_peers.onUse(from);
+    m_follower.onRead([this](const store_update &news) { m_relay.onStoreUpdate(news); });
+    m_directory.onContact([this](const data_center_id &from) {
+        m_peers.onTraffic(from);
         m_peers.onServerResponse(from);
     });
-    m_directory.onSent([this](const data_center_id &to) { m_peers.onUse(to); });
-    m_directory.onDoubt([this](const server &which, bool avoided) { onDoubt(which, avoided); });
+    m_directory.onSent([this](const data_center_id &to) { m_peers.onTraffic(to); });
+    m_directory.onAvoidanceChanged(
+        [this](const server &which, bool avoided) { onAvoidanceChanged(which, avoided); });
     m_directory.onRateLimitChanged([this](const server &which, std::optional<double> before) {
         m_placer.onRateLimitChanged();
         onRateLimitChanged(which, before);
     });
-    m_directory.onLeavingSaid([this](const server &which) {
-        onLeavingSaid(which);
-        m_leaving.onLeavingSaid(which);
+    m_directory.onLeavingAnnounced([this](const server &which) {
+        onLeavingAnnounced(which);
+        m_leaving.onLeavingAnnounced(which);
     });
-    m_directory.onBackoff(
-        [this](const server &which, milliseconds time) { onBackoff(which, time); });
+    m_directory.onBackoffRequested(
+        [this](const server &which, milliseconds time) { onBackoffRequested(which, time); });
     m_clients->onRequest = [this](const http::inbound_ptr &client, http::request_head &&head,
                                   std::string &&body) {
         onRequest(client, std::move(head), std::move(body));
@@ -219,10 +223,10 @@
         exchange<Codec>::refuse(*client);
         return;
     }
-    arrived_request request{client, std::move(head), std::move(body), m_loop.now()};
+    received_request request{client, std::move(head), std::move(body), m_loop.now()};
     const auto tryHold = [&] {
-        const auto patience = Codec::readRequest(request.head).patience;
-        return m_earlyRequests.hold(request, patience.value_or(milliseconds{0}));
+        const auto clientTimeout = Codec::readRequest(request.head).clientTimeout;
+        return m_startupQueue.tryEnqueue(request, clientTimeout.value_or(milliseconds{0}));
     };
     if (prepared() || !tryHold())
         begin(std::move(request));
@@ -231,12 +235,12 @@
 template <gateway_codec Codec>
 void gateway<Codec>::releaseEarlyRequests()
 {
-    for (auto &each : m_earlyRequests.takeDue(prepared() || m_stopping))
+    for (auto &each : m_startupQueue.dequeueDue(prepared() || m_stopping))
         begin(std::move(each));
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::begin(arrived_request &&request)
+void gateway<Codec>::begin(received_request &&request)
 {
     const auto made = std::make_shared<exchange<Codec>>(m_context, std::move(request.client),
                                                         std::move(request.head),
@@ -267,7 +271,7 @@
 {
     gateway_gauges now;
     now.ready = ready();
-    now.storeConnected = m_relay.informed();
+    now.storeConnected = m_relay.receivesChanges();
     now.configurationVersion = m_state.current() ? m_state.current()->version() : 0;
     now.connections = m_clients->connections;
     now.answering = m_clients->answering;
@@ -275,8 +279,8 @@
         now.servers += each->usable() ? 1 : 0;
         now.coldServers += each->usable() && each->cold(m_loop.now()) ? 1 : 0;
         now.limitedServers += each->usable() && each->rateLimit.has_value() ? 1 : 0;
-        now.leavingServers += each->leaves() ? 1 : 0;
-        now.backedOffServers += each->usable() && !each->takes(m_loop.now()) ? 1 : 0;
+        now.leavingServers += each->isLeaving() ? 1 : 0;
+        now.backedOffServers += each->usable() && !each->accepts(m_loop.now()) ? 1 : 0;
     }
     now.evacuatedDataCenters = m_state.evacuations().dataCenters.size();
     const auto age = [this](steady_time since) {
@@ -286,7 +290,7 @@
     now.waitingPieces = m_stages.waiting();
     now.retries = m_retries;
     now.placements = m_placer.open();
-    now.publishedAge = age(m_state.heardAt());
+    now.publishedAge = age(m_state.lastContactAt());
     now.configurationAge = age(m_configurationSince);
     now.serverConnections = m_pool.opened();
     now.droppedLogLines = m_log.dropped();
@@ -312,17 +316,17 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onNews(const publication_news &news)
+void gateway<Codec>::onPublicationEvent(const publication_event &news)
 {
-    const auto level = news.kind == publication_news::what::Unreadable ? wire::log_level::Warning
-                                                                       : wire::log_level::Info;
+    const auto level = news.kind == publication_event::what::Unreadable ? wire::log_level::Warning
+                                                                        : wire::log_level::Info;
     auto line = m_log.line(level, toName(news.kind));
     line.add("subject", news.subject).add("detail", news.detail);
     m_log.write(level, std::move(line));
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onDoubt(const server &which, bool avoided)
+void gateway<Codec>::onAvoidanceChanged(const server &which, bool avoided)
 {
     const auto event = avoided ? log_event::ServerAvoided : log_event::ServerTrusted;
     auto line = m_log.line(wire::log_level::Info, toName(event));
@@ -342,9 +346,9 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onLeavingSaid(const server &which)
+void gateway<Codec>::onLeavingAnnounced(const server &which)
 {
-    const auto heard = m_loop.now() - m_state.heardAt();
+    const auto heard = m_loop.now() - m_state.lastContactAt();
     auto line = m_log.line(wire::log_level::Info, toName(log_event::ServerSaidLeaving));
     line.add("server", which.record.id.value).add("service", which.record.service.value);
     line.add("heard", "answer");
@@ -363,7 +367,7 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onBackoff(const server &which, milliseconds time)
+void gateway<Codec>::onBackoffRequested(const server &which, milliseconds time)
 {
     auto line = m_log.line(wire::log_level::Info, toName(log_event::ServerAskedForTime));
     line.add("server", which.record.id.value).add("service", which.record.service.value);
@@ -374,7 +378,7 @@
 template <gateway_codec Codec>
 void gateway<Codec>::probeServerIn(const data_center_id &dataCenter)
 {
-    const auto asked = m_directory.anyIn(dataCenter);
+    const auto asked = m_directory.nextServerIn(dataCenter);
     if (!asked)
         return;
     m_pool.connect(asked->record.address, [this, dataCenter](http::connect_outcome outcome) {
@@ -384,19 +388,19 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onBroken(const server &which, const interrupted_request &request)
+void gateway<Codec>::onConnectionBroken(const server &which, const in_flight_request &request)
 {
     const auto id = which.record.id;
-    if (!m_serverEnds.onBroken(id, request))
+    if (!m_crashDetector.onConnectionBroken(id, request))
         return;
     m_pool.connect(which.record.address, [this, id](http::connect_outcome outcome) {
-        if (const auto found = m_serverEnds.onConnectOutcome(id))
-            onConnectOutcome(*found, outcome);
+        if (const auto found = m_crashDetector.onProbeResult(id))
+            onProbeResult(*found, outcome);
     });
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onConnectOutcome(const server_end &what, http::connect_outcome outcome)
+void gateway<Codec>::onProbeResult(const server_crash &what, http::connect_outcome outcome)
 {
     const bool ended = outcome == http::connect_outcome::Refused;
     auto line = m_log.line(wire::log_level::Info,
@@ -405,7 +409,7 @@
     line.add("new_connection", toName(outcome));
     m_log.write(wire::log_level::Info, std::move(line));
     if (ended)
-        m_quarantine.onServerEnd(what);
+        m_quarantine.onServerCrash(what);
 }
 
 // Requests that wait for a lost data centre fail over to another one at once, where allowed.
@@ -421,7 +425,7 @@
     m_log.write(wire::log_level::Warning,
                 m_log.line(wire::log_level::Warning, toName(kind))
                     .add("data_center", event.dataCenter.value));
-    m_directory.setCutOff(event.dataCenter, lost);
+    m_directory.setUnreachable(event.dataCenter, lost);
     if (!lost)
         return;
     m_lostDataCenterRelay.onLost(event.dataCenter);
@@ -438,7 +442,7 @@
 void gateway<Codec>::logPeriodicSummary()
 {
     m_stages.logSummaries();
-    m_retries = m_allowance.takeUsage();
+    m_retries = m_retryBudget.takeUsage();
     for (const auto &[service, usage] : m_retries) {
         if (usage.denied == 0)
             continue;
@@ -447,10 +451,10 @@
         line.add("taken", usage.taken).add("nodes", m_peers.view().nodes());
         m_log.write(wire::log_level::Info, std::move(line));
     }
-    if (const auto leftOut = m_lines.takeLeftOut(); leftOut > 0)
+    if (const auto droppedCount = m_logLimiter.takeDroppedCount(); droppedCount > 0)
         m_log.write(wire::log_level::Info,
                     m_log.line(wire::log_level::Info, toName(log_event::LinesLeftOut))
-                        .add("count", leftOut));
+                        .add("count", droppedCount));
 }
 
 template <gateway_codec Codec>
@@ -468,11 +472,11 @@
 void gateway<Codec>::tick()
 {
     for (const auto &each : m_state.tick())
-        onNews(each);
+        onPublicationEvent(each);
     if (std::exchange(m_wasReady, ready()) != ready())
         m_log.write(wire::log_level::Info,
                     ready() ? wire::node_event::Ready : wire::node_event::NotReady, {});
-    m_allowance.setNodes(std::max(MinAssumedNodes, m_peers.view().nodes()));
+    m_retryBudget.setNodes(std::max(MinAssumedNodes, m_peers.view().nodes()));
     m_router.tick();
     m_quarantine.tick();
     m_leaving.tick();
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -59,7 +59,7 @@
             .Help("Time from a stream's arrival to its first event")
             .Register(registry)
             .Add({}, timeBuckets);
-    prometheus::Counter &forgedFields =
+    prometheus::Counter &reservedFields =
         prometheus::BuildCounter()
             .Name("orchidlead_gateway_forged_fields_total")
             .Help("Fields of clients that only the system may set; they were left out")
@@ -139,9 +139,9 @@
     m_families->firstEvents.Observe(seconds(took));
 }
 
-void gateway_metrics::onForgedFields(std::uint32_t count)
+void gateway_metrics::onReservedFields(std::uint32_t count)
 {
-    m_families->forgedFields.Increment(count);
+    m_families->reservedFields.Increment(count);
 }
 
 void gateway_metrics::onStageCall(const service_id &service, const stage_call_report &call)
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/exchange/request_outcome.h"
-#include "gateway/exchange/retry_allowance.h"
+#include "gateway/exchange/retry_budget.h"
 #include "gateway/publication/configuration.h"
 #include "gateway/stages/stage_pool.h"
 
@@ -32,7 +32,7 @@
     std::size_t evacuatedDataCenters = 0;
     std::map<std::string, std::size_t> members; ///< by state, this node included
     std::map<service_id, std::size_t> waitingPieces; ///< in the pools hosted by this node
-    std::map<service_id, retry_allowance::usage> retries;
+    std::map<service_id, retry_budget::usage> retries;
     std::uint64_t placements = 0; ///< requests on the placement board of this node
     milliseconds publishedAge{0}; ///< since the last answer of the store or of a peer reading it
     milliseconds configurationAge{0}; ///< since this node applied its current configuration
@@ -65,7 +65,7 @@
     /// Records the time from a request's arrival until the first event of its stream was sent.
     void onFirstEvent(milliseconds took);
     /// Records the number of header fields in a client's request that only the system may set.
-    void onForgedFields(std::uint32_t count);
+    void onReservedFields(std::uint32_t count);
     void onStageCall(const service_id &service, const stage_call_report &call);
 
     [[nodiscard]] std::string text(const gateway_gauges &gauges);
--- a/src/gateway/log_event.h
+++ b/src/gateway/log_event.h
@@ -7,7 +7,7 @@
 
 namespace orchidlead::gateway {
 
-/// Types of log lines of a gateway, beside those of `wire::node_event` and `publication_news`.
+/// Types of log lines of a gateway, beside those of `wire::node_event` and `publication_event`.
 /// Their fields are described in docs/LOGS.md.
 enum class log_event : std::uint8_t {
     RequestTaken, ///< a request was read and matches a route
--- a/src/gateway/peers/data_center_reachability.cpp
+++ b/src/gateway/peers/data_center_reachability.cpp
@@ -56,7 +56,7 @@
 
 // Before the first use the data centre was probed at long intervals only, so silence under the
 // short limits counts from that use on.
-void data_center_reachability::onUse(const data_center_id &which)
+void data_center_reachability::onTraffic(const data_center_id &which)
 {
     const auto found = m_states.find(which);
     if (found == m_states.end())
--- a/src/gateway/peers/data_center_reachability.h
+++ b/src/gateway/peers/data_center_reachability.h
@@ -39,7 +39,7 @@
 
     void onLivenessSignal(const data_center_id &from);
     /// Records that this node has requests open in the data centre, or sends one now.
-    void onUse(const data_center_id &which);
+    void onTraffic(const data_center_id &which);
     /// Returns the probes and state changes that are due; call about every 100 ms.
     [[nodiscard]] std::vector<reachability_event> tick();
     [[nodiscard]] bool isReachable(const data_center_id &which) const;
--- a/src/gateway/peers/lost_data_center_relay.h
+++ b/src/gateway/peers/lost_data_center_relay.h
@@ -17,13 +17,13 @@
                                      const data_center_id &dataCenter)
 {
     {
-        network.newsReceivers()
+        network.broadcastTargets()
         } -> std::convertible_to<std::vector<vm_id>>;
     {
         network.isBroadcastRelay()
         } -> std::same_as<bool>;
     network.send(to, frame);
-    network.onUse(dataCenter);
+    network.onTraffic(dataCenter);
 };
 
 /// Broadcasts which data centres this node has lost, and has this node check those that peers lost.
@@ -50,7 +50,7 @@
         const auto *notice = std::get_if<lost_data_center_frame>(&frame);
         if (!notice)
             return;
-        m_network.onUse(notice->dataCenter);
+        m_network.onTraffic(notice->dataCenter);
         if (m_network.isBroadcastRelay())
             broadcast(notice->dataCenter);
         else
@@ -68,7 +68,7 @@
         if (!isFirst && now - last->second < RebroadcastInterval)
             return;
         last->second = now;
-        for (const auto &vm : m_network.newsReceivers())
+        for (const auto &vm : m_network.broadcastTargets())
             m_network.send(vm, lost_data_center_frame{which});
     }
 
--- a/src/gateway/peers/peer_frame_reader.cpp
+++ b/src/gateway/peers/peer_frame_reader.cpp
@@ -95,9 +95,9 @@
     return digest;
 }
 
-piece_frame readPiece(field_reader &in)
+submit_piece_frame readPiece(field_reader &in)
 {
-    piece_frame frame;
+    submit_piece_frame frame;
     frame.token = in.read<piece_token>();
     frame.pool = readPool(in);
     frame.request.attempt = in.read<std::string>();
@@ -106,9 +106,9 @@
     frame.request.key = in.read<std::string>();
     frame.request.inputs = in.read<std::vector<std::string>>();
     frame.rank = readRank(in);
-    frame.aimLeft = in.duration();
+    frame.softDeadlineLeft = in.duration();
     frame.deadlineLeft = in.duration();
-    frame.near = data_center_id(in.read<std::string>());
+    frame.preferredDataCenter = data_center_id(in.read<std::string>());
     frame.inputBytes = in.read<std::uint64_t>();
     frame.resultBytes = in.read<std::uint64_t>();
     frame.request.digest = readRequestDigest(in);
@@ -142,25 +142,25 @@
     return names;
 }
 
-placement_wish readWish(field_reader &in)
+placement_query readQuery(field_reader &in)
 {
-    placement_wish wish;
-    wish.pool = readPool(in);
-    wish.rank = readRank(in);
-    wish.patience = in.duration();
-    wish.admitted = in.read<bool>();
-    wish.near = data_center_id(in.read<std::string>());
-    wish.nearBytes = in.read<std::uint64_t>();
+    placement_query query;
+    query.pool = readPool(in);
+    query.rank = readRank(in);
+    query.clientTimeout = in.duration();
+    query.admitted = in.read<bool>();
+    query.preferredDataCenter = data_center_id(in.read<std::string>());
+    query.transferBytes = in.read<std::uint64_t>();
     readList(in, [&](field_reader &items) {
         auto id = items.read<std::string>();
-        wish.prompt.push_back({std::move(id), items.read<std::uint32_t>()});
+        query.prompt.push_back({std::move(id), items.read<std::uint32_t>()});
     });
-    wish.exclude = readNames<std::vector<backend_server_id>>(in);
+    query.exclude = readNames<std::vector<backend_server_id>>(in);
     const bool bound = in.read<bool>();
     auto regions = readNames<std::set<region_id>>(in);
     if (bound)
-        wish.allowed = residency(std::move(regions));
-    return wish;
+        query.allowed = residency(std::move(regions));
+    return query;
 }
 
 // Rejects limits that are negative or not finite: they would make the receiver's request rate NaN.
@@ -176,7 +176,7 @@
 {
     place_frame frame;
     frame.id = in.read<placement_id>();
-    frame.wish = readWish(in);
+    frame.query = readQuery(in);
     return frame;
 }
 
@@ -184,7 +184,7 @@
 {
     admission_request frame;
     frame.id = in.read<placement_id>();
-    frame.wish = readWish(in);
+    frame.query = readQuery(in);
     return frame;
 }
 
@@ -192,9 +192,9 @@
 {
     admission_answer frame;
     frame.id = in.read<placement_id>();
-    frame.told.granted = in.read<bool>();
-    frame.told.comeBack = in.duration();
-    frame.told.allBounded = in.read<bool>();
+    frame.admissionDecision.granted = in.read<bool>();
+    frame.admissionDecision.retryDelay = in.duration();
+    frame.admissionDecision.allRateLimited = in.read<bool>();
     return frame;
 }
 
@@ -202,7 +202,7 @@
 {
     server_start start;
     start.id = backend_server_id(in.read<std::string>());
-    start.born = in.optional<std::uint64_t>();
+    start.startedAt = in.optional<std::uint64_t>();
     return start;
 }
 
@@ -217,10 +217,10 @@
 {
     rate_limits_frame frame;
     readList(in, [&](field_reader &items) {
-        auto &told = frame.limits.emplace_back();
-        told.server = readStart(items);
-        told.perSecond = readLimit(items);
-        told.ago = items.duration();
+        auto &reported = frame.limits.emplace_back();
+        reported.server = readStart(items);
+        reported.perSecond = readLimit(items);
+        reported.ago = items.duration();
     });
     return frame;
 }
@@ -231,18 +231,18 @@
     frame.id = in.read<placement_id>();
     frame.server = backend_server_id(in.read<std::string>());
     frame.wait = in.duration();
-    frame.allBounded = in.read<bool>();
+    frame.allRateLimited = in.read<bool>();
     return frame;
 }
 
-progress_frame readProgress(field_reader &in)
+placement_progress_frame readProgress(field_reader &in)
 {
-    progress_frame frame;
+    placement_progress_frame frame;
     frame.id = in.read<placement_id>();
     const auto kind = in.read<std::uint64_t>();
-    if (kind > static_cast<std::uint64_t>(progress_frame::what::Ended))
+    if (kind > static_cast<std::uint64_t>(placement_progress_frame::what::Ended))
         in.fail();
-    frame.kind = static_cast<progress_frame::what>(kind);
+    frame.kind = static_cast<placement_progress_frame::what>(kind);
     frame.signals.rateLimit.readable = in.read<bool>();
     frame.signals.rateLimit.perSecond = readLimit(in);
     frame.signals.leaving = in.read<bool>();
@@ -251,9 +251,9 @@
     return frame;
 }
 
-outcome_frame readOutcome(field_reader &in)
+piece_outcome_frame readOutcome(field_reader &in)
 {
-    outcome_frame frame;
+    piece_outcome_frame frame;
     frame.token = in.read<piece_token>();
     const auto code = in.read<std::uint64_t>();
     auto handle = in.read<std::string>();
@@ -277,7 +277,7 @@
     server.dataCenter = data_center_id(in.read<std::string>());
     server.slots = in.read<std::uint32_t>();
     server.leaving = in.read<bool>();
-    server.born = in.optional<std::uint64_t>();
+    server.startedAt = in.optional<std::uint64_t>();
     return {server, in.duration()};
 }
 
@@ -327,9 +327,9 @@
     return frame;
 }
 
-compare_frame readCompare(field_reader &in)
+list_digest_frame readCompare(field_reader &in)
 {
-    compare_frame frame;
+    list_digest_frame frame;
     frame.revision = in.read<std::uint64_t>();
     frame.known = readDigest(in);
     return frame;
@@ -344,16 +344,16 @@
     return frame;
 }
 
-server_ends_frame readServerEnds(field_reader &in)
+server_crashes_frame readServerEnds(field_reader &in)
 {
-    server_ends_frame frame;
+    server_crashes_frame frame;
     readList(in, [&](field_reader &items) {
-        auto &end = frame.ends.emplace_back();
-        end.server = backend_server_id(items.read<std::string>());
-        end.ago = items.duration();
+        auto &crash = frame.serverCrashes.emplace_back();
+        crash.server = backend_server_id(items.read<std::string>());
+        crash.ago = items.duration();
         readList(items, [&](field_reader &requests) {
             auto digest = readRequestDigest(requests);
-            end.requests.push_back({digest, requests.duration()});
+            crash.requests.push_back({digest, requests.duration()});
         });
     });
     return frame;
@@ -371,8 +371,8 @@
             items.fail();
         entry.level = static_cast<quarantine_level>(level);
         entry.version = items.read<std::uint64_t>();
-        entry.left = items.duration();
-        entry.times = items.read<std::uint32_t>();
+        entry.remaining = items.duration();
+        entry.quarantineCount = items.read<std::uint32_t>();
     });
     return frame;
 }
@@ -391,7 +391,7 @@
     case frame_kind::Piece:
         return readPiece(in);
     case frame_kind::Withdraw:
-        return withdraw_frame{in.read<piece_token>()};
+        return cancel_piece_frame{in.read<piece_token>()};
     case frame_kind::Outcome:
         return readOutcome(in);
     case frame_kind::Ping:
@@ -417,7 +417,7 @@
     case frame_kind::Configuration:
         return readConfiguration(in);
     case frame_kind::Free:
-        return free_frame{in.read<std::vector<std::string>>()};
+        return free_results_frame{in.read<std::vector<std::string>>()};
     case frame_kind::ServerEnds:
         return readServerEnds(in);
     case frame_kind::Quarantine:
--- a/src/gateway/peers/peer_frame_writer.cpp
+++ b/src/gateway/peers/peer_frame_writer.cpp
@@ -28,10 +28,10 @@
 }
 
 /// Packs the start time of a server, or nil where the server does not publish one.
-void packStartTime(packer &out, const std::optional<std::uint64_t> &born)
+void packStartTime(packer &out, const std::optional<std::uint64_t> &startedAt)
 {
-    if (born)
-        out.pack(*born);
+    if (startedAt)
+        out.pack(*startedAt);
     else
         out.pack_nil();
 }
@@ -39,15 +39,15 @@
 void packStart(packer &out, const server_start &start)
 {
     out.pack(start.id.value);
-    packStartTime(out, start.born);
+    packStartTime(out, start.startedAt);
 }
 
 /// Number of fields per server. The fields of all servers form one flat array.
 constexpr std::uint32_t ServerFields = 9;
 
-void packServer(packer &out, const published_server &told)
+void packServer(packer &out, const published_server &announced)
 {
-    const auto &server = told.record;
+    const auto &server = announced.record;
     out.pack(server.id.value);
     out.pack(server.service.value);
     out.pack(server.address.ip);
@@ -55,8 +55,8 @@
     out.pack(server.dataCenter.value);
     out.pack(server.slots);
     out.pack(server.leaving);
-    packStartTime(out, server.born);
-    packDuration(out, told.coldFor);
+    packStartTime(out, server.startedAt);
+    packDuration(out, announced.coldTimeLeft);
 }
 
 void packDigest(packer &out, const request_digest &digest)
@@ -87,7 +87,7 @@
     out.pack(rank.routePriority);
 }
 
-void pack(packer &out, const piece_frame &frame)
+void pack(packer &out, const submit_piece_frame &frame)
 {
     packKind(out, frame_kind::Piece, 17);
     out.pack(frame.token);
@@ -98,27 +98,27 @@
     out.pack(frame.request.key);
     out.pack(frame.request.inputs);
     packRank(out, frame.rank);
-    packDuration(out, frame.aimLeft);
+    packDuration(out, frame.softDeadlineLeft);
     packDuration(out, frame.deadlineLeft);
-    out.pack(frame.near.value);
+    out.pack(frame.preferredDataCenter.value);
     out.pack(frame.inputBytes);
     out.pack(frame.resultBytes);
     packDigest(out, frame.request.digest);
 }
 
-void pack(packer &out, const free_frame &frame)
+void pack(packer &out, const free_results_frame &frame)
 {
     packKind(out, frame_kind::Free, 1);
     out.pack(frame.handles);
 }
 
-void pack(packer &out, const withdraw_frame &frame)
+void pack(packer &out, const cancel_piece_frame &frame)
 {
     packKind(out, frame_kind::Withdraw, 1);
     out.pack(frame.token);
 }
 
-void pack(packer &out, const outcome_frame &frame)
+void pack(packer &out, const piece_outcome_frame &frame)
 {
     packKind(out, frame_kind::Outcome, 4);
     out.pack(frame.token);
@@ -132,25 +132,25 @@
     packDuration(out, frame.report.wait);
 }
 
-/// Number of fields of a `placement_wish`, which are packed into the array of its frame.
-constexpr std::uint32_t WishFields = 13;
+/// Number of fields of a `placement_query`, which are packed into the array of its frame.
+constexpr std::uint32_t QueryFields = 13;
 
-void packWish(packer &out, const placement_wish &wish)
+void packQuery(packer &out, const placement_query &query)
 {
-    packPool(out, wish.pool);
-    packRank(out, wish.rank);
-    packDuration(out, wish.patience);
-    out.pack(wish.admitted);
-    out.pack(wish.near.value);
-    out.pack(wish.nearBytes);
-    out.pack_array(static_cast<std::uint32_t>(2 * wish.prompt.size()));
-    for (const auto &part : wish.prompt) {
+    packPool(out, query.pool);
+    packRank(out, query.rank);
+    packDuration(out, query.clientTimeout);
+    out.pack(query.admitted);
+    out.pack(query.preferredDataCenter.value);
+    out.pack(query.transferBytes);
+    out.pack_array(static_cast<std::uint32_t>(2 * query.prompt.size()));
+    for (const auto &part : query.prompt) {
         out.pack(part.id);
         out.pack(part.tokens);
     }
-    packNames(out, wish.exclude);
-    out.pack(wish.allowed.bound());
-    packNames(out, wish.allowed.regions());
+    packNames(out, query.exclude);
+    out.pack(query.allowed.restricted());
+    packNames(out, query.allowed.regions());
 }
 
 void packLimit(packer &out, const std::optional<double> &perSecond)
@@ -163,9 +163,9 @@
 
 void pack(packer &out, const place_frame &frame)
 {
-    packKind(out, frame_kind::Place, 1 + WishFields);
+    packKind(out, frame_kind::Place, 1 + QueryFields);
     out.pack(frame.id);
-    packWish(out, frame.wish);
+    packQuery(out, frame.query);
 }
 
 void pack(packer &out, const placed_frame &frame)
@@ -174,10 +174,10 @@
     out.pack(frame.id);
     out.pack(frame.server.value);
     packDuration(out, frame.wait);
-    out.pack(frame.allBounded);
+    out.pack(frame.allRateLimited);
 }
 
-void pack(packer &out, const progress_frame &frame)
+void pack(packer &out, const placement_progress_frame &frame)
 {
     packKind(out, frame_kind::Progress, 7);
     out.pack(frame.id);
@@ -191,18 +191,18 @@
 
 void pack(packer &out, const admission_request &frame)
 {
-    packKind(out, frame_kind::AdmissionRequest, 1 + WishFields);
+    packKind(out, frame_kind::AdmissionRequest, 1 + QueryFields);
     out.pack(frame.id);
-    packWish(out, frame.wish);
+    packQuery(out, frame.query);
 }
 
 void pack(packer &out, const admission_answer &frame)
 {
     packKind(out, frame_kind::AdmissionAnswer, 4);
     out.pack(frame.id);
-    out.pack(frame.told.granted);
-    packDuration(out, frame.told.comeBack);
-    out.pack(frame.told.allBounded);
+    out.pack(frame.admissionDecision.granted);
+    packDuration(out, frame.admissionDecision.retryDelay);
+    out.pack(frame.admissionDecision.allRateLimited);
 }
 
 void pack(packer &out, const rate_limits_frame &frame)
@@ -275,7 +275,7 @@
     out.pack(frame.known);
 }
 
-void pack(packer &out, const compare_frame &frame)
+void pack(packer &out, const list_digest_frame &frame)
 {
     packKind(out, frame_kind::Compare, 2);
     out.pack(frame.revision);
@@ -296,17 +296,17 @@
     out.pack(frame.text.bytes);
 }
 
-void pack(packer &out, const server_ends_frame &frame)
+void pack(packer &out, const server_crashes_frame &frame)
 {
-    constexpr std::uint32_t EndFields = 3;
+    constexpr std::uint32_t CrashFields = 3;
     constexpr std::uint32_t RequestFields = 2;
     packKind(out, frame_kind::ServerEnds, 1);
-    out.pack_array(EndFields * static_cast<std::uint32_t>(frame.ends.size()));
-    for (const auto &end : frame.ends) {
-        out.pack(end.server.value);
-        packDuration(out, end.ago);
-        out.pack_array(RequestFields * static_cast<std::uint32_t>(end.requests.size()));
-        for (const auto &request : end.requests) {
+    out.pack_array(CrashFields * static_cast<std::uint32_t>(frame.serverCrashes.size()));
+    for (const auto &crash : frame.serverCrashes) {
+        out.pack(crash.server.value);
+        packDuration(out, crash.ago);
+        out.pack_array(RequestFields * static_cast<std::uint32_t>(crash.requests.size()));
+        for (const auto &request : crash.requests) {
             packDigest(out, request.digest);
             packDuration(out, request.sentAgo);
         }
@@ -323,8 +323,8 @@
         packDigest(out, entry.request);
         out.pack(static_cast<std::uint64_t>(entry.level));
         out.pack(entry.version);
-        packDuration(out, entry.left);
-        out.pack(entry.times);
+        packDuration(out, entry.remaining);
+        out.pack(entry.quarantineCount);
     }
 }
 
--- a/src/gateway/peers/peer_frames.h
+++ b/src/gateway/peers/peer_frames.h
@@ -22,34 +22,34 @@
 namespace orchidlead::gateway {
 
 /// Asks the receiver, which hosts the pool, to have a piece computed.
-struct piece_frame
+struct submit_piece_frame
 {
     piece_token token = 0; ///< chosen by the sender
     pool_key pool;
     piece_request request;
     stage_rank rank;
-    milliseconds aimLeft{0}; ///< time until the latency target; negative: target missed
+    milliseconds softDeadlineLeft{0}; ///< time until the latency target; negative: target missed
     milliseconds deadlineLeft{0};
-    data_center_id near;
+    data_center_id preferredDataCenter;
     std::uint64_t inputBytes = 0; ///< estimate
     std::uint64_t resultBytes = 0; ///< estimate
 };
 
 /// Cancels a piece that the sender no longer needs.
-struct withdraw_frame
+struct cancel_piece_frame
 {
     piece_token token = 0;
 };
 
 /// Outcome of a piece that the receiver asked for.
-struct outcome_frame
+struct piece_outcome_frame
 {
     piece_token token = 0; ///< chosen by the receiver
     piece_report report;
 };
 
 /// Releases stage results that are no longer needed; the receiver hosts their service.
-struct free_frame
+struct free_results_frame
 {
     std::vector<std::string> handles;
 };
@@ -59,7 +59,7 @@
 struct place_frame
 {
     placement_id id = 0; ///< chosen by the sender
-    placement_wish wish;
+    placement_query query;
 };
 
 /// Answers a `place_frame`.
@@ -67,14 +67,14 @@
 {
     placement_id id = 0; ///< chosen by the receiver
     backend_server_id server; ///< empty: no server was found
-    milliseconds wait{0}; ///< as in `placed_request`
-    bool allBounded = false;
+    milliseconds wait{0}; ///< as in `placement_result`
+    bool allRateLimited = false;
 };
 
 /// Reports the progress of a request that the receiver placed.
-struct progress_frame
+struct placement_progress_frame
 {
-    enum class what : std::uint8_t { FirstAnswer, Ended };
+    enum class what : std::uint8_t { FirstToken, Ended };
     placement_id id = 0; ///< chosen by the sender
     what kind = what::Ended;
     /// Signals of the answer that has just arrived, without those meant for its receiver alone.
@@ -85,12 +85,12 @@
 struct admission_request
 {
     placement_id id = 0; ///< chosen by the sender
-    placement_wish wish; ///< without its prompt
+    placement_query query; ///< without its prompt
 };
 struct admission_answer
 {
     placement_id id = 0; ///< chosen by the receiver
-    admission told;
+    admission admissionDecision;
 };
 
 /// Reports the rate limits that servers stated in answers to the sender; the receiver hosts the
@@ -158,7 +158,7 @@
 
 /// Sent when the sender's server list differs from what it has sent so far, up to a store revision.
 /// A follower that knows a lower revision and another list asks for the differing parts.
-struct compare_frame
+struct list_digest_frame
 {
     std::uint64_t revision = 0;
     list_digest known{}; ///< digest of the sender's list
@@ -176,21 +176,21 @@
     compressed_text text;
 };
 
-/// Reports ended servers and their interrupted requests to the quarantine host.
-struct server_ends_frame
+/// Reports crashed servers and their in-flight requests to the quarantine host.
+struct server_crashes_frame
 {
     struct sent_request
     {
         request_digest digest;
         milliseconds sentAgo{0};
     };
-    struct ended_server
+    struct crashed_server
     {
         backend_server_id server;
         milliseconds ago{0};
         std::vector<sent_request> requests;
     };
-    std::vector<ended_server> ends;
+    std::vector<crashed_server> serverCrashes;
 };
 
 /// Quarantine state of requests, as known to the sender.
@@ -199,10 +199,10 @@
     struct entry_update
     {
         request_digest request;
-        quarantine_level level = quarantine_level::Free;
+        quarantine_level level = quarantine_level::Unrestricted;
         std::uint64_t version = 0;
-        milliseconds left{0}; ///< until the entry expires
-        std::uint32_t times = 0; ///< quarantines since the request was last served
+        milliseconds remaining{0}; ///< until the entry expires
+        std::uint32_t quarantineCount = 0; ///< quarantines since the request was last served
     };
     vm_id host; ///< the sender, if it is the quarantine host; empty: forwarded entries
     std::vector<entry_update> entries;
@@ -225,12 +225,13 @@
 };
 
 using peer_frame =
-    std::variant<piece_frame, withdraw_frame, outcome_frame, ping_frame, pong_frame,
-                 publication_request, publication_frame, free_frame, place_frame, placed_frame,
-                 progress_frame, follow_frame, compare_frame, configuration_request,
-                 configuration_frame, server_ends_frame, quarantine_frame, trial_request,
-                 trial_answer, trial_end, admission_request, admission_answer, rate_limits_frame,
-                 leaving_servers_frame, lost_data_center_frame>;
+    std::variant<submit_piece_frame, cancel_piece_frame, piece_outcome_frame, ping_frame,
+                 pong_frame, publication_request, publication_frame, free_results_frame,
+                 place_frame, placed_frame, placement_progress_frame, follow_frame,
+                 list_digest_frame, configuration_request, configuration_frame,
+                 server_crashes_frame, quarantine_frame, trial_request, trial_answer, trial_end,
+                 admission_request, admission_answer, rate_limits_frame, leaving_servers_frame,
+                 lost_data_center_frame>;
 
 /// Reason why bytes could not be decoded as a frame.
 struct frame_error
--- a/src/gateway/peers/peer_link.cpp
+++ b/src/gateway/peers/peer_link.cpp
@@ -60,7 +60,7 @@
     });
 }
 
-void peer_link::ask()
+void peer_link::sendPing()
 {
     if (m_pingSentAt)
         return;
--- a/src/gateway/peers/peer_link.h
+++ b/src/gateway/peers/peer_link.h
@@ -34,11 +34,11 @@
     /// Closes without calling `onClosed`.
     void closeSilently();
     /// Sends a ping, unless an earlier one is still unanswered.
-    void ask();
+    void sendPing();
     /// Returns when bytes last arrived from the peer, or when the link was opened.
-    [[nodiscard]] steady_time lastHeard() const { return m_lastHeard; }
+    [[nodiscard]] steady_time lastReceivedAt() const { return m_lastHeard; }
     /// Returns when the unanswered ping was sent; empty: no ping is unanswered.
-    [[nodiscard]] const std::optional<steady_time> &askedAt() const { return m_pingSentAt; }
+    [[nodiscard]] const std::optional<steady_time> &pingSentAt() const { return m_pingSentAt; }
 
 private:
     void onConnected() override;
--- a/src/gateway/peers/peer_network.cpp
+++ b/src/gateway/peers/peer_network.cpp
@@ -29,7 +29,7 @@
     , m_address(settings.listen.peers)
     , m_events(std::move(events))
     , m_view(loop.clock(), toIdentity(settings, incarnation), m_events.onHostChanged)
-    , m_checksReachability(!settings.without.contains(policy::DataCenterReach))
+    , m_checksReachability(!settings.disabledPolicies.contains(policy::DataCenterReach))
 { }
 
 peer_network::~peer_network()
@@ -135,14 +135,14 @@
 std::shared_ptr<peer_link> peer_network::linkTo(const vm_id &peer)
 {
     if (const auto found = m_links.find(peer); found != m_links.end()) {
-        onUse(found->second.dataCenter);
+        onTraffic(found->second.dataCenter);
         return found->second.link;
     }
     const auto known = m_view.find(peer);
     if (!known)
         return nullptr;
     const auto &dataCenter = known->vm.dataCenter;
-    onUse(dataCenter);
+    onTraffic(dataCenter);
     auto link = std::make_shared<peer_link>(m_loop, linkEvents(dataCenter));
     m_links[peer] = {link, dataCenter};
     link->open(known->vm.peerAddress);
--- a/src/gateway/peers/peer_network.h
+++ b/src/gateway/peers/peer_network.h
@@ -50,8 +50,8 @@
     [[nodiscard]] double rateShare(const pool_key &pool) { return m_view.rateShare(pool); }
     /// As `peer_view::relayOrder`.
     [[nodiscard]] const std::vector<vm_id> &relayOrder() { return m_view.relayOrder(); }
-    /// As `peer_view::newsReceivers`.
-    [[nodiscard]] const std::vector<vm_id> &newsReceivers() { return m_view.newsReceivers(); }
+    /// As `peer_view::broadcastTargets`.
+    [[nodiscard]] const std::vector<vm_id> &broadcastTargets() { return m_view.broadcastTargets(); }
     /// As `peer_view::isBroadcastRelay`.
     [[nodiscard]] bool isBroadcastRelay() { return m_view.isBroadcastRelay(); }
     /// As `peer_view::quarantineHost`.
@@ -72,8 +72,9 @@
     {
         m_view.onLivenessSignalFrom(dataCenter);
     }
-    /// As `peer_view::onUse`: called when requests go to the data centre or answers arrive from it.
-    void onUse(const data_center_id &dataCenter) { m_view.onUse(dataCenter); }
+    /// As `peer_view::onTraffic`: called when requests go to the data centre or answers arrive from
+    /// it.
+    void onTraffic(const data_center_id &dataCenter) { m_view.onTraffic(dataCenter); }
     /// As `peer_view::avoid`.
     void avoid(const vm_id &peer) { m_view.avoid(peer); }
     void setVersion(std::uint64_t version) { m_view.setVersion(version); }
--- a/src/gateway/peers/peer_view.cpp
+++ b/src/gateway/peers/peer_view.cpp
@@ -286,7 +286,7 @@
     return rendezvousPick(RelayRoleKey, highestCapacityOf(candidates(dataCenter)), BroadcastRelays);
 }
 
-const std::vector<vm_id> &peer_view::newsReceivers()
+const std::vector<vm_id> &peer_view::broadcastTargets()
 {
     if (m_broadcastTargets)
         return *m_broadcastTargets;
@@ -307,7 +307,7 @@
 
 bool peer_view::isBroadcastRelay()
 {
-    std::ignore = newsReceivers();
+    std::ignore = broadcastTargets();
     return m_isBroadcastRelay;
 }
 
--- a/src/gateway/peers/peer_view.h
+++ b/src/gateway/peers/peer_view.h
@@ -52,7 +52,7 @@
         m_reachability.onLivenessSignal(which);
     }
     /// Records that this node has work in the data centre, so that its silence is noticed sooner.
-    void onUse(const data_center_id &which) { m_reachability.onUse(which); }
+    void onTraffic(const data_center_id &which) { m_reachability.onTraffic(which); }
     /// Reassigns roles after a member changed its state.
     void onMemberChanged() { invalidateRoles(); }
     /// Assigns no role to a peer for a while, since it did not answer.
@@ -69,7 +69,7 @@
     /// Returns the nodes that this node sends a broadcast to. A broadcast reaches all nodes in
     /// three hops: a node sends it to the two relays of its own data centre, and the relays send it
     /// to the relays of all other data centres and to all nodes of their own.
-    [[nodiscard]] const std::vector<vm_id> &newsReceivers();
+    [[nodiscard]] const std::vector<vm_id> &broadcastTargets();
     /// Whether this node is one of the two broadcast relays of its data centre.
     [[nodiscard]] bool isBroadcastRelay();
     /// Returns the node that decides on the quarantine of requests suspected of crashing servers;
--- a/src/gateway/placement/placement_board.cpp
+++ b/src/gateway/placement/placement_board.cpp
@@ -34,7 +34,7 @@
 placement_board::placement_board(const clock_source &clock, const server_directory &directory)
     : m_clock(clock)
     , m_directory(directory)
-    , m_pace(clock)
+    , m_pacer(clock)
 { }
 
 void placement_board::setCapacity(const service_id &service, std::uint64_t tokens)
@@ -43,11 +43,11 @@
 }
 
 // A cached part is usable only if all parts before it are cached as well.
-std::uint64_t placement_board::uncachedTokens(const engine &state, const placement_wish &wish)
+std::uint64_t placement_board::uncachedTokens(const engine &state, const placement_query &query)
 {
     std::uint64_t uncached = 0;
     bool cached = true;
-    for (const auto &part : wish.prompt) {
+    for (const auto &part : query.prompt) {
         cached = cached && state.parts.contains(part.id);
         if (!cached)
             uncached += part.tokens;
@@ -55,55 +55,57 @@
     return uncached;
 }
 
-double placement_board::costOf(const server &backend, const placement_wish &wish)
+double placement_board::costOf(const server &backend, const placement_query &query)
 {
     const auto &state = m_engines[backend.record.start()];
-    const auto uncached = uncachedTokens(state, wish);
+    const auto uncached = uncachedTokens(state, query);
     double cost =
         static_cast<double>(uncached + state.prefillTokens) + RunningStreamCost * state.streams;
     if (uncached > PrefillChunkTokens)
         cost += StreamPauseCostPerToken * static_cast<double>(uncached - PrefillChunkTokens)
             * state.streams;
-    if (!wish.near.empty() && backend.record.dataCenter != wish.near)
-        cost += TransferCostPerByte * static_cast<double>(wish.nearBytes);
+    if (!query.preferredDataCenter.empty()
+        && backend.record.dataCenter != query.preferredDataCenter)
+        cost += TransferCostPerByte * static_cast<double>(query.transferBytes);
     if (backend.avoidUntil > m_clock.now())
         cost += AvoidedCost;
     return cost;
 }
 
-std::vector<server_ptr> placement_board::untriedServers(const placement_wish &wish) const
+std::vector<server_ptr> placement_board::untriedServers(const placement_query &query) const
 {
-    auto servers = m_directory.usable(wish.pool);
+    auto servers = m_directory.usable(query.pool);
     std::erase_if(servers, [&](const server_ptr &each) {
-        return std::ranges::find(wish.exclude, each->record.id) != wish.exclude.end();
+        return std::ranges::find(query.exclude, each->record.id) != query.exclude.end();
     });
     return servers;
 }
 
 std::vector<server_ptr> placement_board::candidates(const std::vector<server_ptr> &poolServers,
-                                                    const placement_wish &wish, double share) const
+                                                    const placement_query &query,
+                                                    double share) const
 {
     auto sendable = poolServers;
-    std::erase_if(sendable, [&](const server_ptr &each) { return !m_pace.allows(*each, share); });
+    std::erase_if(sendable, [&](const server_ptr &each) { return !m_pacer.allows(*each, share); });
     const auto now = m_clock.now();
     if (std::ranges::any_of(sendable, [&](const auto &each) { return each->avoidUntil <= now; }))
         return sendable;
-    auto serviceWide = wish;
-    serviceWide.pool = {wish.pool.service};
+    auto serviceWide = query;
+    serviceWide.pool = {query.pool.service};
     auto otherServers = untriedServers(serviceWide);
     std::erase_if(otherServers, [&](const server_ptr &each) {
-        return !wish.allowed.allows(each->region) || !m_pace.allows(*each, 0.0);
+        return !query.allowed.allows(each->region) || !m_pacer.allows(*each, 0.0);
     });
     return otherServers.empty() ? sendable : otherServers;
 }
 
 server_ptr placement_board::cheapest(const std::vector<server_ptr> &servers,
-                                     const placement_wish &wish)
+                                     const placement_query &query)
 {
     server_ptr best;
     double bestCost = std::numeric_limits<double>::max();
     for (const auto &each : servers) {
-        const double cost = costOf(*each, wish);
+        const double cost = costOf(*each, query);
         if (cost < bestCost) {
             bestCost = cost;
             best = each;
@@ -112,15 +114,15 @@
     return best;
 }
 
-placed_request placement_board::earliestAllowed(const std::vector<server_ptr> &poolServers,
-                                                const placement_wish &wish, double share) const
+placement_result placement_board::earliestAllowed(const std::vector<server_ptr> &poolServers,
+                                                  const placement_query &query, double share) const
 {
-    placed_request candidate;
+    placement_result candidate;
     if (share <= 0)
         return candidate;
     steady_time earliest = steady_time::max();
     for (const auto &each : poolServers) {
-        const auto at = m_pace.nextAt(*each, share);
+        const auto at = m_pacer.nextAllowedAt(*each, share);
         if (at < earliest) {
             earliest = at;
             candidate.server = each;
@@ -129,76 +131,79 @@
     if (!candidate.server)
         return candidate;
     candidate.wait = std::chrono::ceil<milliseconds>(earliest - m_clock.now());
-    if (candidate.wait > wish.patience)
+    if (candidate.wait > query.clientTimeout)
         candidate.server = nullptr;
     return candidate;
 }
 
-std::optional<double> placement_board::poolRateLimit(const placement_wish &wish, double share) const
+std::optional<double> placement_board::poolRateLimit(const placement_query &query,
+                                                     double share) const
 {
-    if (!m_directory.allBounded(wish.pool.service, wish.allowed))
+    if (!m_directory.allRateLimited(query.pool.service, query.allowed))
         return std::nullopt;
     double perSecond = 0.0;
-    for (const auto &each : m_directory.usable(wish.pool))
-        perSecond += share * each->bound(m_clock.now()).value_or(effective_rate_limit{}).perSecond;
+    for (const auto &each : m_directory.usable(query.pool))
+        perSecond += share
+            * each->effectiveRateLimit(m_clock.now()).value_or(effective_rate_limit{}).perSecond;
     return perSecond;
 }
 
-milliseconds placement_board::tryPoolAdmission(const placement_wish &wish, double perSecond)
+milliseconds placement_board::tryPoolAdmission(const placement_query &query, double perSecond)
 {
-    return m_admissions.try_emplace(wish.pool, m_clock)
-        .first->second.tryAdmit(wish.rank, perSecond);
+    return m_admissions.try_emplace(query.pool, m_clock)
+        .first->second.tryAdmit(query.rank, perSecond);
 }
 
-admission placement_board::admit(const placement_wish &wish, double share)
+admission placement_board::admit(const placement_query &query, double share)
 {
-    const auto perSecond = poolRateLimit(wish, share);
+    const auto perSecond = poolRateLimit(query, share);
     if (!perSecond)
         return {};
     if (share <= 0)
         return {false, milliseconds{0}, true};
-    const auto comeBack = tryPoolAdmission(wish, *perSecond);
-    return {comeBack == milliseconds{0}, comeBack, true};
+    const auto retryDelay = tryPoolAdmission(query, *perSecond);
+    return {retryDelay == milliseconds{0}, retryDelay, true};
 }
 
-placed_request placement_board::place(placement_id id, const placement_wish &wish, double share)
+placement_result placement_board::place(placement_id id, const placement_query &query, double share)
 {
     expirePlacements();
-    const auto perSecond = poolRateLimit(wish, share);
-    placed_request placed;
-    if (perSecond && share > 0 && !wish.admitted)
-        placed.wait = tryPoolAdmission(wish, *perSecond);
+    const auto perSecond = poolRateLimit(query, share);
+    placement_result placed;
+    if (perSecond && share > 0 && !query.admitted)
+        placed.wait = tryPoolAdmission(query, *perSecond);
     if (placed.wait == milliseconds{0}) {
-        const auto poolServers = untriedServers(wish);
-        placed.server = cheapest(candidates(poolServers, wish, share), wish);
+        const auto poolServers = untriedServers(query);
+        placed.server = cheapest(candidates(poolServers, query, share), query);
         if (!placed.server)
-            placed = earliestAllowed(poolServers, wish, share);
+            placed = earliestAllowed(poolServers, query, share);
     }
-    placed.allBounded = perSecond.has_value();
+    placed.allRateLimited = perSecond.has_value();
     if (placed.server) {
-        m_pace.onSent(*placed.server, share);
-        recordPlacement(id, wish, *placed.server);
+        m_pacer.onSent(*placed.server, share);
+        recordPlacement(id, query, *placed.server);
     }
     return placed;
 }
 
-void placement_board::recordPlacement(placement_id id, const placement_wish &wish,
+void placement_board::recordPlacement(placement_id id, const placement_query &query,
                                       const server &chosen)
 {
     auto &state = m_engines[chosen.record.start()];
-    const auto uncached = uncachedTokens(state, wish);
+    const auto uncached = uncachedTokens(state, query);
     state.prefillTokens += uncached;
     ++state.streams;
     m_placements[id] = {chosen.record.start(), uncached, m_clock.now()};
-    const auto known = m_capacities.find(wish.pool.service);
-    cacheParts(state, wish, known == m_capacities.end() ? DefaultCapacityTokens : known->second);
+    const auto known = m_capacities.find(query.pool.service);
+    cacheParts(state, query, known == m_capacities.end() ? DefaultCapacityTokens : known->second);
 }
 
 // Evicts the least recently used parts, as the engine does.
-void placement_board::cacheParts(engine &state, const placement_wish &wish, std::uint64_t capacity)
+void placement_board::cacheParts(engine &state, const placement_query &query,
+                                 std::uint64_t capacity)
 {
-    for (std::size_t i = 0; i + 1 < wish.prompt.size(); ++i) {
-        const auto &part = wish.prompt[i];
+    for (std::size_t i = 0; i + 1 < query.prompt.size(); ++i) {
+        const auto &part = query.prompt[i];
         const auto [entry, isNew] = state.parts.try_emplace(part.id);
         entry->second = {part.tokens, m_clock.now()};
         if (isNew)
@@ -214,7 +219,7 @@
     }
 }
 
-void placement_board::onFirstAnswer(placement_id id)
+void placement_board::onFirstToken(placement_id id)
 {
     const auto found = m_placements.find(id);
     if (found == m_placements.end())
@@ -226,7 +231,7 @@
 
 void placement_board::onEnd(placement_id id)
 {
-    onFirstAnswer(id);
+    onFirstToken(id);
     const auto found = m_placements.find(id);
     if (found == m_placements.end())
         return;
--- a/src/gateway/placement/placement_board.h
+++ b/src/gateway/placement/placement_board.h
@@ -2,7 +2,7 @@
 
 #include "gateway/codec.h"
 #include "gateway/placement/pool_admission.h"
-#include "gateway/servers/rate_pace.h"
+#include "gateway/servers/rate_pacer.h"
 #include "gateway/servers/server_directory.h"
 #include "gateway/stages/stage_rank.h"
 
@@ -21,36 +21,36 @@
 
 /// A request to be placed on a server by the host of its pool: a model engine, or a server of a
 /// pool with rate-limited servers.
-struct placement_wish
+struct placement_query
 {
     pool_key pool;
     stage_rank rank;
-    milliseconds patience{0}; ///< longest time to wait for a rate-limited server
+    milliseconds clientTimeout{0}; ///< longest time to wait for a rate-limited server
     bool admitted = false; ///< already admitted by the pool's host, before its stages
     std::vector<prompt_part> prompt; ///< parts in order; the last one belongs to the request alone
-    data_center_id near; ///< data centre that holds the inputs
-    std::uint64_t nearBytes =
+    data_center_id preferredDataCenter; ///< data centre that holds the inputs
+    std::uint64_t transferBytes =
         0; ///< size of the inputs that would have to be moved to another data centre
     std::vector<backend_server_id> exclude; ///< servers already tried
     residency allowed;
 };
 
 /// The server that a request is sent to, and when.
-struct placed_request
+struct placement_result
 {
     server_ptr server; ///< null: no server is available for the request
     /// Time until the request may be sent to the server. Without a server: time until there may be
     /// room, 0 if unknown.
     milliseconds wait{0};
-    bool allBounded = false; ///< all servers that the request may use are rate-limited
+    bool allRateLimited = false; ///< all servers that the request may use are rate-limited
 };
 
 /// Whether a request may start its stages.
 struct admission
 {
     bool granted = true;
-    milliseconds comeBack{0}; ///< time after which to retry if not granted; 0: unknown
-    bool allBounded = false; ///< as in `placed_request`
+    milliseconds retryDelay{0}; ///< time after which to retry if not granted; 0: unknown
+    bool allRateLimited = false; ///< as in `placement_result`
 };
 
 /// Places requests on the servers of pools, mainly on model engines.
@@ -72,13 +72,13 @@
     void setCapacity(const service_id &service, std::uint64_t tokens);
     /// Chooses a server. `share` is the share of the rate limits of the pool's servers that this
     /// board may use. Rate-limited servers of other pools are never chosen.
-    [[nodiscard]] placed_request place(placement_id id, const placement_wish &wish,
-                                       double share = 0.0);
+    [[nodiscard]] placement_result place(placement_id id, const placement_query &query,
+                                         double share = 0.0);
     /// Returns whether a request may start its stages. Stages are wasted work if no server accepts
     /// the request afterwards.
-    [[nodiscard]] admission admit(const placement_wish &wish, double share);
+    [[nodiscard]] admission admit(const placement_query &query, double share);
     /// Called when the prompt of the request has been read.
-    void onFirstAnswer(placement_id id);
+    void onFirstToken(placement_id id);
     void onEnd(placement_id id);
 
     [[nodiscard]] std::size_t open() const { return m_placements.size(); }
@@ -104,34 +104,36 @@
     };
 
     /// Returns the servers of the pool that have not been tried.
-    [[nodiscard]] std::vector<server_ptr> untriedServers(const placement_wish &wish) const;
+    [[nodiscard]] std::vector<server_ptr> untriedServers(const placement_query &query) const;
     /// Returns the servers of `poolServers` that may get a request now. If there are none, or if
     /// all of them are avoided, returns servers of other pools that the request may use.
     [[nodiscard]] std::vector<server_ptr> candidates(const std::vector<server_ptr> &poolServers,
-                                                     const placement_wish &wish,
+                                                     const placement_query &query,
                                                      double share) const;
     [[nodiscard]] server_ptr cheapest(const std::vector<server_ptr> &servers,
-                                      const placement_wish &wish);
-    /// Returns the server that may get a request first, if the wait is within `wish.patience`.
-    [[nodiscard]] placed_request earliestAllowed(const std::vector<server_ptr> &poolServers,
-                                                 const placement_wish &wish, double share) const;
+                                      const placement_query &query);
+    /// Returns the server that may get a request first, if the wait is within
+    /// `query.clientTimeout`.
+    [[nodiscard]] placement_result earliestAllowed(const std::vector<server_ptr> &poolServers,
+                                                   const placement_query &query,
+                                                   double share) const;
     /// Returns the total rate limit of the servers if all that the request may use are
     /// rate-limited.
-    [[nodiscard]] std::optional<double> poolRateLimit(const placement_wish &wish,
+    [[nodiscard]] std::optional<double> poolRateLimit(const placement_query &query,
                                                       double share) const;
-    [[nodiscard]] milliseconds tryPoolAdmission(const placement_wish &wish, double perSecond);
+    [[nodiscard]] milliseconds tryPoolAdmission(const placement_query &query, double perSecond);
     /// Records the load that the request adds to the server, and the prompt parts cached there.
-    void recordPlacement(placement_id id, const placement_wish &wish, const server &chosen);
-    [[nodiscard]] double costOf(const server &backend, const placement_wish &wish);
+    void recordPlacement(placement_id id, const placement_query &query, const server &chosen);
+    [[nodiscard]] double costOf(const server &backend, const placement_query &query);
     [[nodiscard]] static std::uint64_t uncachedTokens(const engine &state,
-                                                      const placement_wish &wish);
-    void cacheParts(engine &state, const placement_wish &wish, std::uint64_t capacity);
+                                                      const placement_query &query);
+    void cacheParts(engine &state, const placement_query &query, std::uint64_t capacity);
     void expirePlacements();
 
     const clock_source &m_clock;
     const server_directory &m_directory;
     std::unordered_map<service_id, std::uint64_t> m_capacities;
-    rate_pace m_pace;
+    rate_pacer m_pacer;
     std::map<pool_key, pool_admission> m_admissions;
     std::map<server_start, engine> m_engines;
     std::unordered_map<placement_id, placement> m_placements;
--- a/src/gateway/placement/request_placer.cpp
+++ b/src/gateway/placement/request_placer.cpp
@@ -13,23 +13,24 @@
 constexpr milliseconds OtherRegionHostTimeout{140};
 // A data centre with at least this many engines reads shared prompts by itself. With fewer engines,
 // reading the parts in each data centre costs more than moving inputs.
-constexpr pool_width_limits EnginePoolWidths{8, 6};
+constexpr pool_split_limits EnginePoolWidths{8, 6};
 // How long a host's report that all servers of a pool are rate-limited is valid. While there are
 // requests, each reply of the host renews or clears it.
-constexpr milliseconds AllBoundedLifetime{2000};
+constexpr milliseconds AllRateLimitedLifetime{2000};
 
 } // namespace
 
 request_placer::request_placer(http::io_loop &loop, peer_network &peers,
-                               server_directory &directory, const policies_left_out &without)
+                               server_directory &directory,
+                               const disabled_policies &disabledPolicies)
     : m_loop(loop)
     , m_peers(peers)
     , m_directory(directory)
     , m_board(loop.clock(), directory)
-    , m_widths(directory, EnginePoolWidths)
+    , m_splitter(directory, EnginePoolWidths)
 {
-    if (without.contains(policy::SplitPools))
-        m_widths.keepJoined();
+    if (disabledPolicies.contains(policy::SplitPools))
+        m_splitter.disableSplitting();
 }
 
 void request_placer::setConfiguration(const configuration_ptr &configuration)
@@ -40,10 +41,11 @@
     }
 }
 
-pool_key request_placer::poolFor(const service_id &service, const data_center_id &near,
+pool_key request_placer::poolFor(const service_id &service,
+                                 const data_center_id &preferredDataCenter,
                                  const residency &allowed)
 {
-    return m_widths.poolFor(service, near, allowed);
+    return m_splitter.poolFor(service, preferredDataCenter, allowed);
 }
 
 request_placer::link_ptr request_placer::linkToHost(const pool_key &pool)
@@ -82,37 +84,37 @@
 
 bool request_placer::needsAdmission(const pool_key &pool) const
 {
-    const auto found = m_allBounded.find(pool);
-    return found != m_allBounded.end() && m_loop.now() < found->second;
+    const auto found = m_allRateLimited.find(pool);
+    return found != m_allRateLimited.end() && m_loop.now() < found->second;
 }
 
-void request_placer::recordAllBounded(const pool_key &pool, bool allBounded)
+void request_placer::recordAllRateLimited(const pool_key &pool, bool allRateLimited)
 {
-    if (allBounded)
-        m_allBounded[pool] = m_loop.now() + AllBoundedLifetime;
+    if (allRateLimited)
+        m_allRateLimited[pool] = m_loop.now() + AllRateLimitedLifetime;
     else
-        m_allBounded.erase(pool);
+        m_allRateLimited.erase(pool);
 }
 
-placement_id request_placer::askAdmission(placement_wish wish, admission_handler answer)
+placement_id request_placer::askAdmission(placement_query query, admission_handler answer)
 {
     const auto id = ++m_lastId;
     auto &entry = m_admissions[id];
-    entry.link = linkToHost(wish.pool);
-    entry.wish = std::move(wish);
+    entry.link = linkToHost(query.pool);
+    entry.query = std::move(query);
     entry.answer = std::move(answer);
     if (!entry.link) {
         m_loop.post([this, id] {
             if (const auto found = m_admissions.find(id); found != m_admissions.end())
-                onAdmission(id, admitOnBoard(found->second.wish));
+                onAdmission(id, admitOnBoard(found->second.query));
         });
         return id;
     }
-    entry.link->send(admission_request{id, entry.wish});
-    entry.timer = m_loop.callAfter(hostTimeout(entry.wish.pool), [this, id] {
+    entry.link->send(admission_request{id, entry.query});
+    entry.timer = m_loop.callAfter(hostTimeout(entry.query.pool), [this, id] {
         if (const auto found = m_admissions.find(id); found != m_admissions.end()) {
             found->second.timer = 0;
-            onAdmission(id, {.allBounded = needsAdmission(found->second.wish.pool)});
+            onAdmission(id, {.allRateLimited = needsAdmission(found->second.query.pool)});
         }
     });
     return id;
@@ -125,16 +127,16 @@
         return;
     const auto &entry = found.mapped();
     m_loop.cancelTimer(entry.timer);
-    recordAllBounded(entry.wish.pool, decision.allBounded);
+    recordAllRateLimited(entry.query.pool, decision.allRateLimited);
     entry.answer(decision);
 }
 
-placement_id request_placer::place(placement_wish wish, placement_handler placed)
+placement_id request_placer::place(placement_query query, placement_handler placed)
 {
     const auto id = ++m_lastId;
     auto &entry = m_pending[id];
-    entry.link = linkToHost(wish.pool);
-    entry.wish = std::move(wish);
+    entry.link = linkToHost(query.pool);
+    entry.query = std::move(query);
     entry.placed = std::move(placed);
     if (!entry.link) {
         m_loop.post([this, id] {
@@ -143,8 +145,8 @@
         });
         return id;
     }
-    entry.link->send(place_frame{id, entry.wish});
-    entry.timer = m_loop.callAfter(hostTimeout(entry.wish.pool), [this, id] {
+    entry.link->send(place_frame{id, entry.query});
+    entry.timer = m_loop.callAfter(hostTimeout(entry.query.pool), [this, id] {
         const auto found = m_pending.find(id);
         if (found == m_pending.end())
             return;
@@ -159,26 +161,26 @@
     if (!entry.placed)
         return;
     if (const auto link = std::exchange(entry.link, nullptr))
-        link->send(progress_frame{id, progress_frame::what::Ended});
-    complete(entry, placeOnBoard(id, entry.wish));
+        link->send(placement_progress_frame{id, placement_progress_frame::what::Ended});
+    complete(entry, placeOnBoard(id, entry.query));
 }
 
 // The handler may end the request and thereby remove its entry.
-void request_placer::complete(pending_placement &entry, const placed_request &placed)
+void request_placer::complete(pending_placement &entry, const placement_result &placed)
 {
-    recordAllBounded(entry.wish.pool, placed.allBounded);
+    recordAllRateLimited(entry.query.pool, placed.allRateLimited);
     const auto callback = std::exchange(entry.placed, {});
     callback(placed);
 }
 
-placed_request request_placer::placeOnBoard(placement_id id, const placement_wish &wish)
+placement_result request_placer::placeOnBoard(placement_id id, const placement_query &query)
 {
-    return m_board.place(id, wish, m_peers.rateShare(wish.pool));
+    return m_board.place(id, query, m_peers.rateShare(query.pool));
 }
 
-admission request_placer::admitOnBoard(const placement_wish &wish)
+admission request_placer::admitOnBoard(const placement_query &query)
 {
-    return m_board.admit(wish, m_peers.rateShare(wish.pool));
+    return m_board.admit(query, m_peers.rateShare(query.pool));
 }
 
 // The host may choose a server that this node does not know yet, or knows to be gone.
@@ -190,12 +192,12 @@
     auto &entry = found->second;
     m_loop.cancelTimer(std::exchange(entry.timer, 0));
     const auto chosen = m_directory.find(frame.server);
-    const bool refused = frame.server.empty() && frame.allBounded;
-    if (!refused && (!chosen || !chosen->takes(m_loop.now()))) {
+    const bool refused = frame.server.empty() && frame.allRateLimited;
+    if (!refused && (!chosen || !chosen->accepts(m_loop.now()))) {
         placeLocally(frame.id, entry);
         return;
     }
-    complete(entry, {chosen, frame.wait, frame.allBounded});
+    complete(entry, {chosen, frame.wait, frame.allRateLimited});
 }
 
 void request_placer::onSignals(placement_id id, const server_signals &reported)
@@ -206,20 +208,20 @@
 
 // Signals are sent to the host only once.
 void request_placer::sendProgress(placement_id id, pending_placement &entry,
-                                  progress_frame::what kind)
+                                  placement_progress_frame::what kind)
 {
-    entry.link->send(progress_frame{id, kind, std::exchange(entry.signals, NoSignals)});
+    entry.link->send(placement_progress_frame{id, kind, std::exchange(entry.signals, NoSignals)});
 }
 
-void request_placer::onFirstAnswer(placement_id id)
+void request_placer::onFirstToken(placement_id id)
 {
     const auto found = m_pending.find(id);
     if (found == m_pending.end())
         return;
     if (found->second.link)
-        sendProgress(id, found->second, progress_frame::what::FirstAnswer);
+        sendProgress(id, found->second, placement_progress_frame::what::FirstToken);
     else
-        m_board.onFirstAnswer(id);
+        m_board.onFirstToken(id);
 }
 
 void request_placer::onEnd(placement_id id)
@@ -231,7 +233,7 @@
         return;
     m_loop.cancelTimer(found->second.timer);
     if (found->second.link)
-        sendProgress(id, found->second, progress_frame::what::Ended);
+        sendProgress(id, found->second, placement_progress_frame::what::Ended);
     else
         m_board.onEnd(id);
     m_pending.erase(found);
@@ -239,16 +241,16 @@
 
 void request_placer::onFrame(const link_ptr &link, const peer_frame &frame)
 {
-    if (const auto *wish = std::get_if<place_frame>(&frame))
-        onPlaceRequest(link, *wish);
+    if (const auto *query = std::get_if<place_frame>(&frame))
+        onPlaceRequest(link, *query);
     else if (const auto *placed = std::get_if<placed_frame>(&frame))
         onPlaced(*placed);
-    else if (const auto *progress = std::get_if<progress_frame>(&frame))
+    else if (const auto *progress = std::get_if<placement_progress_frame>(&frame))
         onProgress(link, *progress);
     else if (const auto *asked = std::get_if<admission_request>(&frame))
         onAdmissionRequest(link, *asked);
     else if (const auto *answer = std::get_if<admission_answer>(&frame))
-        onAdmission(answer->id, answer->told);
+        onAdmission(answer->id, answer->admissionDecision);
     else if (const auto *limits = std::get_if<rate_limits_frame>(&frame))
         onRateLimits(*limits);
 }
@@ -256,16 +258,16 @@
 void request_placer::onPlaceRequest(const link_ptr &link, const place_frame &frame)
 {
     const auto id = ++m_lastId;
-    const auto placed = placeOnBoard(id, frame.wish);
+    const auto placed = placeOnBoard(id, frame.query);
     const auto server = placed.server ? placed.server->record.start() : server_start{};
     if (placed.server)
         m_hosted[link][frame.id] = {id, server};
-    link->send(placed_frame{frame.id, server.id, placed.wait, placed.allBounded});
+    link->send(placed_frame{frame.id, server.id, placed.wait, placed.allRateLimited});
 }
 
 void request_placer::onAdmissionRequest(const link_ptr &link, const admission_request &frame)
 {
-    link->send(admission_answer{frame.id, admitOnBoard(frame.wish)});
+    link->send(admission_answer{frame.id, admitOnBoard(frame.query)});
 }
 
 void request_placer::onRateLimits(const rate_limits_frame &frame)
@@ -277,7 +279,7 @@
     }
 }
 
-void request_placer::onProgress(const link_ptr &link, const progress_frame &frame)
+void request_placer::onProgress(const link_ptr &link, const placement_progress_frame &frame)
 {
     const auto hosted = m_hosted.find(link);
     if (hosted == m_hosted.end())
@@ -288,8 +290,8 @@
     const auto server = m_directory.find(found->second.server.id);
     if (server && server->record.start() == found->second.server)
         m_directory.onSignals(*server, frame.signals);
-    if (frame.kind == progress_frame::what::FirstAnswer) {
-        m_board.onFirstAnswer(found->second.localId);
+    if (frame.kind == placement_progress_frame::what::FirstToken) {
+        m_board.onFirstToken(found->second.localId);
         return;
     }
     m_board.onEnd(found->second.localId);
--- a/src/gateway/placement/request_placer.h
+++ b/src/gateway/placement/request_placer.h
@@ -2,7 +2,7 @@
 
 #include "gateway/peers/peer_network.h"
 #include "gateway/placement/placement_board.h"
-#include "gateway/servers/pool_widths.h"
+#include "gateway/servers/pool_splitter.h"
 
 #include <functional>
 #include <map>
@@ -21,16 +21,17 @@
 class request_placer
 {
 public:
-    using placement_handler = std::function<void(const placed_request &)>;
+    using placement_handler = std::function<void(const placement_result &)>;
     using admission_handler = std::function<void(const admission &)>;
 
     request_placer(http::io_loop &loop, peer_network &peers, server_directory &directory,
-                   const policies_left_out &without);
+                   const disabled_policies &disabledPolicies);
 
     void setConfiguration(const configuration_ptr &configuration);
 
-    /// Returns the pool of a service for a request that is best done in `near`.
-    [[nodiscard]] pool_key poolFor(const service_id &service, const data_center_id &near,
+    /// Returns the pool of a service for a request that is best done in `preferredDataCenter`.
+    [[nodiscard]] pool_key poolFor(const service_id &service,
+                                   const data_center_id &preferredDataCenter,
                                    const residency &allowed);
     /// Returns whether requests of a pool must be admitted before their stages, because all servers
     /// of the pool were recently reported as rate-limited.
@@ -38,14 +39,14 @@
     /// Asks the host whether a request may start its stages. `answer` is called once,
     /// asynchronously, unless `onEnd` is called first. If the host does not answer, the request is
     /// admitted.
-    placement_id askAdmission(placement_wish wish, admission_handler answer);
+    placement_id askAdmission(placement_query query, admission_handler answer);
     /// Places a request. `placed` is called once, asynchronously, unless `onEnd` is called first.
-    placement_id place(placement_wish wish, placement_handler placed);
+    placement_id place(placement_query query, placement_handler placed);
     /// Called when a response to the request begins; `reported` holds the signals of the response.
     void onSignals(placement_id id, const server_signals &reported);
     /// Called when a server announces a different rate limit to this node.
     void onRateLimitChanged() { ++m_limitChanges; }
-    void onFirstAnswer(placement_id id);
+    void onFirstToken(placement_id id);
     void onEnd(placement_id id);
 
     /// Handles frames about placements; other frames are ignored.
@@ -60,7 +61,7 @@
 
     struct pending_placement
     {
-        placement_wish wish;
+        placement_query query;
         placement_handler placed; ///< empty once it has been called
         link_ptr link; ///< to the host; null: placed by this node
         http::timer_id timer = 0;
@@ -68,7 +69,7 @@
     };
     struct pending_admission
     {
-        placement_wish wish;
+        placement_query query;
         admission_handler answer;
         link_ptr link; ///< as in `pending_placement`
         http::timer_id timer = 0;
@@ -92,18 +93,19 @@
     [[nodiscard]] milliseconds hostTimeout(const pool_key &pool);
     void sendRateLimits(const pool_key &pool, const link_ptr &link);
     void placeLocally(placement_id id, pending_placement &entry);
-    [[nodiscard]] placed_request placeOnBoard(placement_id id, const placement_wish &wish);
-    [[nodiscard]] admission admitOnBoard(const placement_wish &wish);
+    [[nodiscard]] placement_result placeOnBoard(placement_id id, const placement_query &query);
+    [[nodiscard]] admission admitOnBoard(const placement_query &query);
     /// Calls the handler of the request.
-    void complete(pending_placement &entry, const placed_request &placed);
+    void complete(pending_placement &entry, const placement_result &placed);
     void onAdmission(placement_id id, const admission &decision);
     /// Records whether the host reports that all servers of a pool are rate-limited.
-    void recordAllBounded(const pool_key &pool, bool allBounded);
-    void sendProgress(placement_id id, pending_placement &entry, progress_frame::what kind);
+    void recordAllRateLimited(const pool_key &pool, bool allRateLimited);
+    void sendProgress(placement_id id, pending_placement &entry,
+                      placement_progress_frame::what kind);
     void onPlaced(const placed_frame &frame);
     void onPlaceRequest(const link_ptr &link, const place_frame &frame);
     void onAdmissionRequest(const link_ptr &link, const admission_request &frame);
-    void onProgress(const link_ptr &link, const progress_frame &frame);
+    void onProgress(const link_ptr &link, const placement_progress_frame &frame);
     void onRateLimits(const rate_limits_frame &frame);
     /// Continues without the host after its link was closed.
     void handleHostLoss(const link_ptr &link);
@@ -112,11 +114,11 @@
     peer_network &m_peers;
     server_directory &m_directory;
     placement_board m_board;
-    pool_widths m_widths;
+    pool_splitter m_splitter;
     placement_id m_lastId = 0;
     std::unordered_map<placement_id, pending_placement> m_pending;
     std::unordered_map<placement_id, pending_admission> m_admissions;
-    std::map<pool_key, steady_time> m_allBounded; ///< when the host's report expires
+    std::map<pool_key, steady_time> m_allRateLimited; ///< when the host's report expires
     std::uint64_t m_limitChanges = 0; ///< number of rate limit changes reported to this node
     std::map<pool_key, limits_recipient> m_limitsSentTo;
     std::map<link_ptr, std::unordered_map<placement_id, hosted_placement>>
--- a/src/gateway/policy.h
+++ b/src/gateway/policy.h
@@ -13,13 +13,13 @@
     SplitPools, ///< a pool per data centre where a service has enough servers
     DataCenterReach, ///< detection of the loss of a whole data centre
     LateLeafStages, ///< stages whose results no other stage needs start last
-    WaitForNear, ///< pieces with large inputs wait for a server close to them
-    ToldWaits, ///< hosts report waits; requests that would be late are refused on arrival
-    PromptHomes, ///< prompts that share long parts have a home data centre
+    WaitForLocalServer, ///< pieces with large inputs wait for a server close to them
+    ReportedWaits, ///< hosts report waits; requests that would be late are refused on arrival
+    PromptAffinity, ///< prompts that share long parts have a preferred data centre
 };
 
 /// The disabled policies.
-using policies_left_out = std::set<policy>;
+using disabled_policies = std::set<policy>;
 
 } // namespace orchidlead::gateway
 
@@ -31,10 +31,10 @@
                                                        "data_center_reach"},
     orchidlead::enum_name<orchidlead::gateway::policy>{orchidlead::gateway::policy::LateLeafStages,
                                                        "late_leaf_stages"},
-    orchidlead::enum_name<orchidlead::gateway::policy>{orchidlead::gateway::policy::WaitForNear,
-                                                       "wait_for_near"},
-    orchidlead::enum_name<orchidlead::gateway::policy>{orchidlead::gateway::policy::ToldWaits,
+    orchidlead::enum_name<orchidlead::gateway::policy>{
+        orchidlead::gateway::policy::WaitForLocalServer, "wait_for_near"},
+    orchidlead::enum_name<orchidlead::gateway::policy>{orchidlead::gateway::policy::ReportedWaits,
                                                        "told_waits"},
-    orchidlead::enum_name<orchidlead::gateway::policy>{orchidlead::gateway::policy::PromptHomes,
+    orchidlead::enum_name<orchidlead::gateway::policy>{orchidlead::gateway::policy::PromptAffinity,
                                                        "prompt_homes"},
 };
--- a/src/gateway/publication/configuration.h
+++ b/src/gateway/publication/configuration.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/servers/cold_start.h"
+#include "gateway/servers/cold_start_settings.h"
 
 #include <orchidlead/clock.h>
 #include <orchidlead/enum_names.h>
@@ -75,7 +75,7 @@
     std::uint32_t batch = 1; ///< pieces per call
     milliseconds callTime{0}; ///< fixed cost of a call, whatever its number of pieces
     std::chrono::microseconds pieceTime{0}; ///< approximate cost of each piece
-    std::uint64_t roomBytes = 0; ///< memory for results
+    std::uint64_t resultMemoryBytes = 0; ///< memory for results
     milliseconds resultLifetime{0}; ///< counted from the end of the call
 };
 
@@ -93,7 +93,7 @@
     std::uint32_t maxConnections = 0; ///< to one server, from all callers together; 0: unlimited
     std::optional<stage_capacity> stage; ///< set if the servers process stages
     std::optional<engine_capacity> engine; ///< set if the servers run models
-    cold_start coldStart;
+    cold_start_settings coldStart;
 };
 
 /// Limits on the requests and connections of clients.
--- a/src/gateway/publication/configuration_relay.h
+++ b/src/gateway/publication/configuration_relay.h
@@ -3,7 +3,7 @@
 #include "gateway/peers/peer_network.h"
 #include "gateway/publication/configuration_pull.h"
 #include "gateway/publication/published_state.h"
-#include "gateway/publication/store_follower.h"
+#include "gateway/publication/store_reader.h"
 
 #include <functional>
 #include <map>
@@ -18,8 +18,8 @@
 {
 public:
     configuration_relay(http::io_loop &loop, peer_network &peers, published_state &state,
-                        store_follower<Codec> &store,
-                        std::function<void(const publication_news &)> onEvent, wire::log &log);
+                        store_reader<Codec> &store,
+                        std::function<void(const publication_event &)> onEvent, wire::log &log);
 
     /// Requests an announced configuration that has not arrived; call about every 100 ms.
     void tick() { pull(); }
@@ -48,8 +48,8 @@
 
     peer_network &m_peers;
     published_state &m_state;
-    store_follower<Codec> &m_store;
-    std::function<void(const publication_news &)> m_onEvent;
+    store_reader<Codec> &m_store;
+    std::function<void(const publication_event &)> m_onEvent;
     wire::log &m_log;
     configuration_pull m_pull;
     link_ptr m_askedLink; ///< to the peer that received the last request
--- a/src/gateway/publication/configuration_relay_impl.h
+++ b/src/gateway/publication/configuration_relay_impl.h
@@ -11,8 +11,8 @@
 
 template <gateway_codec Codec>
 configuration_relay<Codec>::configuration_relay(
-    http::io_loop &loop, peer_network &peers, published_state &state, store_follower<Codec> &store,
-    std::function<void(const publication_news &)> onEvent, wire::log &log)
+    http::io_loop &loop, peer_network &peers, published_state &state, store_reader<Codec> &store,
+    std::function<void(const publication_event &)> onEvent, wire::log &log)
     : m_peers(peers)
     , m_state(state)
     , m_store(store)
--- a/src/gateway/publication/publication_relay.h
+++ b/src/gateway/publication/publication_relay.h
@@ -5,7 +5,7 @@
 #include "gateway/publication/list_digest.h"
 #include "gateway/publication/published_state.h"
 #include "gateway/publication/relay_tree.h"
-#include "gateway/publication/store_follower.h"
+#include "gateway/publication/store_reader.h"
 
 #include <functional>
 #include <map>
@@ -30,8 +30,8 @@
 {
 public:
     publication_relay(http::io_loop &loop, peer_network &peers, server_directory &directory,
-                      published_state &state, store_follower<Codec> &store,
-                      std::function<void(const publication_news &)> onEvent, wire::log &log,
+                      published_state &state, store_reader<Codec> &store,
+                      std::function<void(const publication_event &)> onEvent, wire::log &log,
                       std::uint32_t seed);
 
     /// Re-evaluates whether this node reads the store and which nodes it follows; call about every
@@ -41,14 +41,14 @@
     void onFrame(const std::shared_ptr<peer_link> &link, const peer_frame &frame);
     void onLinkClosed(const std::shared_ptr<peer_link> &link);
     /// Sends an update that this node read from the store to its followers.
-    void onStoreNews(const store_news &update);
+    void onStoreUpdate(const store_update &update);
     /// Records that a configuration is now in force on this node.
     void onConfiguration(std::uint64_t version) { m_configurations.onConfiguration(version); }
     /// Handles the version of the configuration that is in force on a peer.
     void onPeerVersion(const vm_id &peer, std::uint64_t version);
 
     /// Returns whether this node currently receives changes, from the store or from a reader.
-    [[nodiscard]] bool informed() const;
+    [[nodiscard]] bool receivesChanges() const;
 
 private:
     using link_ptr = std::shared_ptr<peer_link>;
@@ -79,8 +79,8 @@
     void onFollow(const link_ptr &link, const follow_frame &frame);
     void apply(const publication_frame &frame, const vm_id &reader);
     void applyAnswer(const publication_frame &frame);
-    std::vector<publication_news> applyServers(const publication_frame &frame);
-    [[nodiscard]] bool readsStore() const { return m_state.listed() && m_store.current(); }
+    std::vector<publication_event> applyServers(const publication_frame &frame);
+    [[nodiscard]] bool readsStore() const { return m_state.hasServerList() && m_store.current(); }
     /// Returns when a reader that this node follows last read the store; empty if that is longer
     /// ago than `SourceTimeout`.
     [[nodiscard]] std::optional<steady_time> sourcesCurrentAt() const;
@@ -94,7 +94,7 @@
     [[nodiscard]] const list_digest &ownDigest();
     /// Returns a heartbeat with the removals that are deferred.
     [[nodiscard]] publication_frame makeDeferredRemovals() const;
-    [[nodiscard]] publication_frame makeChanges(const store_news &update) const;
+    [[nodiscard]] publication_frame makeChanges(const store_update &update) const;
     [[nodiscard]] publication_frame makeHeartbeat() const;
     [[nodiscard]] follow_frame makeFollow();
     void setReading(bool reads);
@@ -104,8 +104,8 @@
     peer_network &m_peers;
     server_directory &m_directory;
     published_state &m_state;
-    store_follower<Codec> &m_store;
-    std::function<void(const publication_news &)> m_onEvent;
+    store_reader<Codec> &m_store;
+    std::function<void(const publication_event &)> m_onEvent;
     wire::log &m_log;
     std::minstd_rand m_random;
     std::map<vm_id, source> m_sources;
--- a/src/gateway/publication/publication_relay_followers_impl.h
+++ b/src/gateway/publication/publication_relay_followers_impl.h
@@ -28,7 +28,7 @@
 publication_frame publication_relay<Codec>::makeHeartbeat() const
 {
     publication_frame frame;
-    if (const auto since = currentAt(); since && m_state.listed()) {
+    if (const auto since = currentAt(); since && m_state.hasServerList()) {
         frame.current = true;
         frame.age = readsStore()
             ? DirectReaderAge
@@ -64,7 +64,7 @@
     for (const auto &each : m_directory.all()) {
         const auto &id = each->record.id;
         if (parts.contains(static_cast<std::uint32_t>(digestPartOf(id))) || each->cold(now))
-            frame.servers.push_back({each->record, each->coldLeft(now)});
+            frame.servers.push_back({each->record, each->remainingColdTime(now)});
     }
     return frame;
 }
@@ -111,13 +111,13 @@
 {
     if (m_followers.empty())
         return;
-    sendToFollowers(compare_frame{m_store.revision(), ownDigest()});
+    sendToFollowers(list_digest_frame{m_store.revision(), ownDigest()});
     if (auto deferred = makeDeferredRemovals(); hasContent(deferred))
         sendToFollowers(deferred);
 }
 
 template <gateway_codec Codec>
-void publication_relay<Codec>::onStoreNews(const store_news &update)
+void publication_relay<Codec>::onStoreUpdate(const store_update &update)
 {
     if (update.complete) {
         sendDigest();
@@ -162,7 +162,7 @@
 // entry that this node and its followers already have is not sent. A server whose removal was sent
 // is sent again when its entry returns, even if the entry is unchanged.
 template <gateway_codec Codec>
-publication_frame publication_relay<Codec>::makeChanges(const store_news &update) const
+publication_frame publication_relay<Codec>::makeChanges(const store_update &update) const
 {
     auto frame = makeHeartbeat();
     std::map<backend_server_id, const published_server *> last; // null if removed
@@ -185,7 +185,7 @@
         if (!server)
             frame.removed.push_back(id);
         else if (!alreadySent || known->record != server->record
-                 || server->coldFor > known->coldLeft(now) + ColdTimeTolerance)
+                 || server->coldTimeLeft > known->remainingColdTime(now) + ColdTimeTolerance)
             frame.servers.push_back(*server);
     }
     return frame;
--- a/src/gateway/publication/publication_relay_impl.h
+++ b/src/gateway/publication/publication_relay_impl.h
@@ -46,8 +46,8 @@
 template <gateway_codec Codec>
 publication_relay<Codec>::publication_relay(http::io_loop &loop, peer_network &peers,
                                             server_directory &directory, published_state &state,
-                                            store_follower<Codec> &store,
-                                            std::function<void(const publication_news &)> onEvent,
+                                            store_reader<Codec> &store,
+                                            std::function<void(const publication_event &)> onEvent,
                                             wire::log &log, std::uint32_t seed)
     : m_loop(loop)
     , m_peers(peers)
@@ -67,12 +67,12 @@
 template <gateway_codec Codec>
 void publication_relay<Codec>::tick()
 {
-    const auto position = placeInTree(m_peers.self(), m_peers.relayOrder());
+    const auto position = positionInTree(m_peers.self(), m_peers.relayOrder());
     m_treeLevel = position.level;
     const bool settled = m_loop.now() - m_startedAt >= SettleTime;
     const bool reader = settled && position.level == 0;
     if (m_store.listPending() && (reader || listIsOverdue(position)))
-        m_store.readList(reader ? read_freshness::Latest : read_freshness::MayBeOld);
+        m_store.readList(reader ? read_consistency::Latest : read_consistency::MayBeStale);
     // A reader whose store does not answer follows the other reader meanwhile.
     const bool mayFollow = m_store.complete() || m_store.listPending();
     const bool follows = mayFollow && (!reader || !m_store.current());
@@ -80,7 +80,7 @@
     setReading(!m_store.complete() || reader || shouldReadDirectly(position));
     m_store.setHasFollowers(!m_followers.empty());
     notifyFollowers();
-    if (!informed() && m_store.silentFor() > PeerRequestDelay)
+    if (!receivesChanges() && m_store.silentFor() > PeerRequestDelay)
         requestFromPeer();
     m_configurations.tick();
 }
@@ -162,7 +162,7 @@
 }
 
 template <gateway_codec Codec>
-bool publication_relay<Codec>::informed() const
+bool publication_relay<Codec>::receivesChanges() const
 {
     return (m_store.reading() && m_store.connected()) || sourcesCurrentAt();
 }
@@ -178,7 +178,7 @@
         onPublication(link, *publication);
     } else if (const auto *follow = std::get_if<follow_frame>(&frame)) {
         onFollow(link, *follow);
-    } else if (const auto *compare = std::get_if<compare_frame>(&frame)) {
+    } else if (const auto *compare = std::get_if<list_digest_frame>(&frame)) {
         if (compare->revision > m_store.revision() && compare->known != ownDigest())
             link->send(makeFollow());
     } else {
@@ -226,7 +226,8 @@
 }
 
 template <gateway_codec Codec>
-std::vector<publication_news> publication_relay<Codec>::applyServers(const publication_frame &frame)
+std::vector<publication_event>
+publication_relay<Codec>::applyServers(const publication_frame &frame)
 {
     std::vector<published_item> items;
     for (const auto &each : frame.servers)
@@ -249,7 +250,7 @@
     // A heartbeat contains a revision up to which nothing else happened. But a change may have been
     // lost with a closed link, so only frames with content advance the revision of this node.
     // Changes are useful only to a node that has the list.
-    const bool carriesChanges = frame.compared || (hasContent(frame) && m_state.listed());
+    const bool carriesChanges = frame.compared || (hasContent(frame) && m_state.hasServerList());
     if (!carriesChanges || frame.revision <= m_store.revision())
         return;
     for (const auto &each : applyServers(frame))
@@ -265,9 +266,9 @@
 void publication_relay<Codec>::applyAnswer(const publication_frame &frame)
 {
     const bool newer = frame.current && frame.revision > m_store.revision();
-    const bool hasMore = newer || (!m_state.listed() && !frame.servers.empty());
+    const bool hasMore = newer || (!m_state.hasServerList() && !frame.servers.empty());
     m_state.deferRemovals(frame.removalsDeferred);
-    if (!hasMore || !frame.compared || informed())
+    if (!hasMore || !frame.compared || receivesChanges())
         return;
     for (const auto &each : applyServers(frame))
         m_onEvent(each);
@@ -287,7 +288,7 @@
     }
     if (!m_behindSince)
         m_behindSince = m_loop.now();
-    const bool waits = informed() && m_loop.now() - *m_behindSince < LaterVersionDelay;
+    const bool waits = receivesChanges() && m_loop.now() - *m_behindSince < LaterVersionDelay;
     if (waits || m_loop.now() < m_nextPeerRequest)
         return;
     m_nextPeerRequest = m_loop.now() + PeerRequestInterval;
--- a/src/gateway/publication/published_state.cpp
+++ b/src/gateway/publication/published_state.cpp
@@ -18,14 +18,14 @@
 template <class... Handlers>
 overloaded(Handlers...) -> overloaded<Handlers...>;
 
-using what = publication_news::what;
+using what = publication_event::what;
 
 // Up to this many events of one kind in an update are reported one by one.
 constexpr std::size_t MaxSeparateEvents = 24;
 
 // Replaces many events of one kind by one with their count: otherwise the list of thousands of
 // servers that a node reads at its start would cause as many log lines.
-std::vector<publication_news> summarized(std::vector<publication_news> events)
+std::vector<publication_event> summarized(std::vector<publication_event> events)
 {
     std::map<what, std::size_t> counts;
     for (const auto &each : events)
@@ -48,20 +48,20 @@
     , m_removalDelay(removalDelay)
 { }
 
-std::vector<publication_news> published_state::apply(const std::vector<published_item> &items)
+std::vector<publication_event> published_state::apply(const std::vector<published_item> &items)
 {
     return summarized(applyAll(items));
 }
 
-std::vector<publication_news> published_state::applyAll(const std::vector<published_item> &items)
+std::vector<publication_event> published_state::applyAll(const std::vector<published_item> &items)
 {
-    std::vector<publication_news> events;
+    std::vector<publication_event> events;
     for (const auto &item : items)
         applyOne(item, events);
     return events;
 }
 
-void published_state::applyOne(const published_item &item, std::vector<publication_news> &events)
+void published_state::applyOne(const published_item &item, std::vector<publication_event> &events)
 {
     std::visit(overloaded{
                    [&](const published_server &each) { applyServer(each, events); },
@@ -75,7 +75,7 @@
                item);
 }
 
-std::vector<publication_news> published_state::applyList(const std::vector<published_item> &items)
+std::vector<publication_event> published_state::applyList(const std::vector<published_item> &items)
 {
     std::set<std::uint32_t> all;
     for (std::uint32_t part = 0; part < DigestParts; ++part)
@@ -83,8 +83,8 @@
     return applyParts(items, all);
 }
 
-std::vector<publication_news> published_state::applyParts(const std::vector<published_item> &items,
-                                                          const std::set<std::uint32_t> &parts)
+std::vector<publication_event> published_state::applyParts(const std::vector<published_item> &items,
+                                                           const std::set<std::uint32_t> &parts)
 {
     auto events = applyAll(items);
     std::set<backend_server_id> present;
@@ -103,25 +103,25 @@
 }
 
 void published_state::applyServer(const published_server &announced,
-                                  std::vector<publication_news> &events)
+                                  std::vector<publication_event> &events)
 {
     const auto &record = announced.record;
     m_deferred.erase(record.id);
     const auto known = m_directory.find(record.id);
     const bool wasLeaving = known && known->record.leaving;
     const bool wasCold = known && known->cold(m_clock.now());
-    m_directory.put(record, announced.coldFor);
+    m_directory.put(record, announced.coldTimeLeft);
     if (!known)
         events.push_back({what::ServerAdded, record.id.value, record.service.value});
-    if (announced.coldFor > milliseconds{0} && !wasCold)
+    if (announced.coldTimeLeft > milliseconds{0} && !wasCold)
         events.push_back({what::ServerCold, record.id.value,
-                          "for " + std::to_string(announced.coldFor.count()) + " ms"});
+                          "for " + std::to_string(announced.coldTimeLeft.count()) + " ms"});
     if (record.leaving && !wasLeaving)
         events.push_back({what::ServerLeaving, record.id.value, record.service.value});
 }
 
 void published_state::applyRemoval(const backend_server_id &id,
-                                   std::vector<publication_news> &events)
+                                   std::vector<publication_event> &events)
 {
     const auto known = m_directory.find(id);
     if (!known)
@@ -137,7 +137,7 @@
 }
 
 void published_state::applyConfiguration(const published_configuration &published,
-                                         std::vector<publication_news> &events)
+                                         std::vector<publication_event> &events)
 {
     const auto version = published.content.version;
     if (m_configuration && version <= m_configuration->version()) {
@@ -154,23 +154,23 @@
 }
 
 void published_state::applyEvacuation(const published_evacuation &change,
-                                      std::vector<publication_news> &events)
+                                      std::vector<publication_event> &events)
 {
     const auto before = m_evacuations.list().dataCenters;
     if (m_evacuations.applyChange(change.dataCenter, change.evacuated, change.revision))
         onEvacuations(before, events);
 }
 
-std::vector<publication_news> published_state::mergeEvacuations(const evacuation_list &list)
+std::vector<publication_event> published_state::mergeEvacuations(const evacuation_list &list)
 {
-    std::vector<publication_news> events;
+    std::vector<publication_event> events;
     const auto before = m_evacuations.list().dataCenters;
     if (m_evacuations.replaceIfNewer(list))
         onEvacuations(before, events);
     return events;
 }
 
-std::vector<publication_news>
+std::vector<publication_event>
 published_state::applyOperations(const std::vector<published_item> &items, std::uint64_t revision)
 {
     evacuation_list list{revision, {}};
@@ -187,7 +187,7 @@
 }
 
 void published_state::onEvacuations(const std::set<data_center_id> &before,
-                                    std::vector<publication_news> &events)
+                                    std::vector<publication_event> &events)
 {
     const auto &list = m_evacuations.list();
     const auto report = [&](what kind, const data_center_id &dataCenter) {
@@ -227,9 +227,9 @@
     return std::max(milliseconds{0}, left);
 }
 
-std::vector<publication_news> published_state::tick()
+std::vector<publication_event> published_state::tick()
 {
-    std::vector<publication_news> events;
+    std::vector<publication_event> events;
     std::erase_if(m_deferred, [&](const auto &each) {
         const auto &[id, due] = each;
         if (m_clock.now() < due)
--- a/src/gateway/publication/published_state.h
+++ b/src/gateway/publication/published_state.h
@@ -14,7 +14,7 @@
 namespace orchidlead::gateway {
 
 /// An effect of an update of the published state, for the log.
-struct publication_news
+struct publication_event
 {
     enum class what {
         ConfigurationInForce,
@@ -46,24 +46,24 @@
                     milliseconds removalDelay);
 
     /// Applies changes. Returns their effects.
-    std::vector<publication_news> apply(const std::vector<published_item> &items);
+    std::vector<publication_event> apply(const std::vector<published_item> &items);
     /// Applies a complete list of servers; servers that are not in it are removed.
-    std::vector<publication_news> applyList(const std::vector<published_item> &items);
+    std::vector<publication_event> applyList(const std::vector<published_item> &items);
     /// Applies the complete content of some parts (`digestPartOf`) of a list of servers; other
     /// servers of these parts are removed.
-    std::vector<publication_news> applyParts(const std::vector<published_item> &items,
-                                             const std::set<std::uint32_t> &parts);
+    std::vector<publication_event> applyParts(const std::vector<published_item> &items,
+                                              const std::set<std::uint32_t> &parts);
     /// Applies everything that operators have published, read from the store at `revision` or
     /// later; data centres not evacuated there are no longer evacuated.
-    std::vector<publication_news> applyOperations(const std::vector<published_item> &items,
-                                                  std::uint64_t revision);
+    std::vector<publication_event> applyOperations(const std::vector<published_item> &items,
+                                                   std::uint64_t revision);
     /// Records that all changes up to `revision` have been applied.
     void advanceEvacuations(std::uint64_t revision) { m_evacuations.advanceRevision(revision); }
     /// Applies the list of evacuated data centres of a peer if it is newer.
-    std::vector<publication_news> mergeEvacuations(const evacuation_list &list);
+    std::vector<publication_event> mergeEvacuations(const evacuation_list &list);
     [[nodiscard]] const evacuation_list &evacuations() const { return m_evacuations.list(); }
     /// Applies the deferred removals that are due.
-    std::vector<publication_news> tick();
+    std::vector<publication_event> tick();
 
     /// Records that a call to the store failed.
     void onStoreFailed();
@@ -84,26 +84,27 @@
     /// Returns the text of the current configuration as it was published.
     [[nodiscard]] const std::string &configurationText() const { return m_configurationText; }
     /// Returns whether a list of servers, possibly an old one, has been applied.
-    [[nodiscard]] bool listed() const { return m_listed; }
+    [[nodiscard]] bool hasServerList() const { return m_listed; }
     /// Returns when the store, or a source with current state, last sent something. The state is at
     /// least that recent.
-    [[nodiscard]] steady_time heardAt() const { return m_lastContactAt; }
+    [[nodiscard]] steady_time lastContactAt() const { return m_lastContactAt; }
     void onConfiguration(std::function<void(const configuration_ptr &)> handler)
     {
         m_onConfiguration = std::move(handler);
     }
 
 private:
-    [[nodiscard]] std::vector<publication_news> applyAll(const std::vector<published_item> &items);
-    void applyOne(const published_item &item, std::vector<publication_news> &events);
-    void applyServer(const published_server &announced, std::vector<publication_news> &events);
-    void applyRemoval(const backend_server_id &id, std::vector<publication_news> &events);
+    [[nodiscard]] std::vector<publication_event> applyAll(const std::vector<published_item> &items);
+    void applyOne(const published_item &item, std::vector<publication_event> &events);
+    void applyServer(const published_server &announced, std::vector<publication_event> &events);
+    void applyRemoval(const backend_server_id &id, std::vector<publication_event> &events);
     void applyConfiguration(const published_configuration &published,
-                            std::vector<publication_news> &events);
-    void applyEvacuation(const published_evacuation &change, std::vector<publication_news> &events);
+                            std::vector<publication_event> &events);
+    void applyEvacuation(const published_evacuation &change,
+                         std::vector<publication_event> &events);
     /// Updates the directory and adds events for the data centres that differ from `before`.
     void onEvacuations(const std::set<data_center_id> &before,
-                       std::vector<publication_news> &events);
+                       std::vector<publication_event> &events);
 
     const clock_source &m_clock;
     server_directory &m_directory;
@@ -122,26 +123,26 @@
 } // namespace orchidlead::gateway
 
 template <>
-inline constexpr std::array orchidlead::enumNames<orchidlead::gateway::publication_news::what>{
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::ConfigurationInForce,
+inline constexpr std::array orchidlead::enumNames<orchidlead::gateway::publication_event::what>{
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::ConfigurationInForce,
         "configuration_in_force"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::ConfigurationOlder, "configuration_older"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::Unreadable, "publication_unreadable"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::ServerAdded, "server_added"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::ServerCold, "server_cold"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::ServerLeaving, "server_leaving"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::ServerRemoved, "server_removed"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::RemovalDeferred, "server_removal_deferred"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::DataCenterEvacuated, "data_center_evacuated"},
-    orchidlead::enum_name<orchidlead::gateway::publication_news::what>{
-        orchidlead::gateway::publication_news::what::DataCenterReturned, "data_center_returned"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::ConfigurationOlder, "configuration_older"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::Unreadable, "publication_unreadable"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::ServerAdded, "server_added"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::ServerCold, "server_cold"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::ServerLeaving, "server_leaving"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::ServerRemoved, "server_removed"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::RemovalDeferred, "server_removal_deferred"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::DataCenterEvacuated, "data_center_evacuated"},
+    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
+        orchidlead::gateway::publication_event::what::DataCenterReturned, "data_center_returned"},
 };
--- a/src/gateway/publication/relay_tree.cpp
+++ b/src/gateway/publication/relay_tree.cpp
@@ -19,7 +19,7 @@
 // Sources are chosen by rendezvous hashing of both names. When a node stops or joins, few other
 // nodes change their sources, and nodes that temporarily disagree on the order still follow earlier
 // nodes.
-relay_position placeInTree(const vm_id &self, std::span<const vm_id> order)
+relay_position positionInTree(const vm_id &self, std::span<const vm_id> order)
 {
     relay_position position;
     const auto index = static_cast<std::size_t>(std::ranges::find(order, self) - order.begin());
--- a/src/gateway/publication/relay_tree.h
+++ b/src/gateway/publication/relay_tree.h
@@ -23,6 +23,6 @@
 /// `order` read the store. Each further level is several times as wide as the previous one, and
 /// each node has two sources in the previous level. So the number of followers of a node stays
 /// small whatever the number of nodes, and the followers of a node that stops have a second source.
-[[nodiscard]] relay_position placeInTree(const vm_id &self, std::span<const vm_id> order);
+[[nodiscard]] relay_position positionInTree(const vm_id &self, std::span<const vm_id> order);
 
 } // namespace orchidlead::gateway
--- a/src/gateway/publication/store_follower.h
+++ b/src/gateway/publication/store_reader.h
@@ -16,7 +16,7 @@
 namespace orchidlead::gateway {
 
 /// An update just read from the store.
-struct store_news
+struct store_update
 {
     const std::vector<published_item> &items;
     bool complete = false; ///< a complete list, already applied to the state, instead of changes
@@ -31,12 +31,12 @@
 /// It continues from the state received from other nodes, or else reads the latest list and watches
 /// for changes. It starts over when the store no longer has the history from its revision on.
 template <gateway_codec Codec>
-class store_follower
+class store_reader
 {
 public:
-    store_follower(http::io_loop &loop, http::connection_pool &pool, const socket_address &store,
-                   published_state &state, std::function<void(publication_news)> onEvent,
-                   wire::log &log, std::uint32_t seed, const store_options &options = {});
+    store_reader(http::io_loop &loop, http::connection_pool &pool, const socket_address &store,
+                 published_state &state, std::function<void(publication_event)> onEvent,
+                 wire::log &log, std::uint32_t seed, const store_options &options = {});
 
     void start() { readFirstPage(); }
     /// Starts or stops reading the store. Reading continues from the last revision read or received
@@ -46,7 +46,7 @@
     /// to be read or received from other nodes.
     [[nodiscard]] bool listPending() const { return m_listPending; }
     /// Reads the pending list and what operators published.
-    void readList(read_freshness serverFreshness);
+    void readList(read_consistency serverFreshness);
     /// Fetches only the configuration, whether or not this node reads the store.
     void fetchConfiguration();
     /// Sets whether other nodes rely on what this node reads.
@@ -56,7 +56,10 @@
     void advanceTo(std::uint64_t revision);
     /// Sets the handler of updates. It is called before changes are applied to the state, and after
     /// a complete list has been applied.
-    void onRead(std::function<void(const store_news &)> handler) { m_onRead = std::move(handler); }
+    void onRead(std::function<void(const store_update &)> handler)
+    {
+        m_onRead = std::move(handler);
+    }
 
     [[nodiscard]] bool connected() const { return m_connected; }
     [[nodiscard]] bool reading() const { return m_reading; }
@@ -97,9 +100,9 @@
     void readFirstPage();
     /// Reads everything that operators published, beginning after the key `after`, and then the
     /// servers.
-    void readOperations(const std::string &after, read_freshness serverFreshness);
-    void readServers(const std::string &after, read_freshness freshness);
-    void onServers(published_page &&page, read_freshness freshness);
+    void readOperations(const std::string &after, read_consistency serverFreshness);
+    void readServers(const std::string &after, read_consistency freshness);
+    void onServers(published_page &&page, read_consistency freshness);
     void watch();
     http::pool_call get(const std::string &target, milliseconds timeout,
                         std::function<void(const store_answer &)> onAnswer);
@@ -112,8 +115,8 @@
     void onFailure(std::string_view why);
     [[nodiscard]] milliseconds nextPause();
     void onHistoryGone();
-    void reportEvents(const std::vector<publication_news> &events);
-    void notifyReadHandler(const store_news &update);
+    void reportEvents(const std::vector<publication_event> &events);
+    void notifyReadHandler(const store_update &update);
     /// Calls `step` after `time`, unless reading starts or stops meanwhile.
     void after(milliseconds time, std::function<void()> step);
 
@@ -121,7 +124,7 @@
     http::connection_pool &m_pool;
     socket_address m_store;
     published_state &m_state;
-    std::function<void(publication_news)> m_onEvent;
+    std::function<void(publication_event)> m_onEvent;
     wire::log &m_log;
     store_options m_options;
     std::vector<published_item> m_list; ///< pages read so far
@@ -140,7 +143,7 @@
     std::uint64_t m_readGeneration = 0; ///< incremented when reading starts or stops
     http::pool_call m_call = 0; ///< the open call
     steady_time m_lastAnswerAt{};
-    std::function<void(const store_news &)> m_onRead;
+    std::function<void(const store_update &)> m_onRead;
     milliseconds m_backoff{0};
     std::function<void()> m_currentStep; ///< repeats the current step
     std::minstd_rand m_random;
@@ -148,4 +151,4 @@
 
 } // namespace orchidlead::gateway
 
-#include "gateway/publication/store_follower_impl.h"
+#include "gateway/publication/store_reader_impl.h"
