--- a/src/gateway/publication/store_follower_impl.h
+++ b/src/gateway/publication/store_reader_impl.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/log_event.h"
-#include "gateway/publication/store_follower.h"
+#include "gateway/publication/store_reader.h"
 
 #include <algorithm>
 #include <memory>
@@ -10,10 +10,10 @@
 namespace orchidlead::gateway {
 
 template <gateway_codec Codec>
-store_follower<Codec>::store_follower(http::io_loop &loop, http::connection_pool &pool,
-                                      const socket_address &store, published_state &state,
-                                      std::function<void(publication_news)> onEvent, wire::log &log,
-                                      std::uint32_t seed, const store_options &options)
+store_reader<Codec>::store_reader(http::io_loop &loop, http::connection_pool &pool,
+                                  const socket_address &store, published_state &state,
+                                  std::function<void(publication_event)> onEvent, wire::log &log,
+                                  std::uint32_t seed, const store_options &options)
     : m_loop(loop)
     , m_pool(pool)
     , m_store(store)
@@ -26,21 +26,21 @@
 { }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::reportEvents(const std::vector<publication_news> &events)
+void store_reader<Codec>::reportEvents(const std::vector<publication_event> &events)
 {
     for (const auto &each : events)
         m_onEvent(each);
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::notifyReadHandler(const store_news &update)
+void store_reader<Codec>::notifyReadHandler(const store_update &update)
 {
     if (m_onRead)
         m_onRead(update);
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::after(milliseconds time, std::function<void()> step)
+void store_reader<Codec>::after(milliseconds time, std::function<void()> step)
 {
     m_loop.callAfter(time, [this, generation = m_readGeneration, step = std::move(step)] {
         if (generation == m_readGeneration)
@@ -49,7 +49,7 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::setReading(bool reading)
+void store_reader<Codec>::setReading(bool reading)
 {
     const bool waited = std::exchange(m_awaitingReadDecision, false);
     if (std::exchange(m_reading, reading) == reading && !(waited && reading))
@@ -61,11 +61,11 @@
     if (m_complete && m_latest)
         watch();
     else
-        readOperations({}, read_freshness::Latest);
+        readOperations({}, read_consistency::Latest);
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::advanceTo(std::uint64_t revision)
+void store_reader<Codec>::advanceTo(std::uint64_t revision)
 {
     m_revision = std::max(m_revision, revision);
     m_latest = true;
@@ -76,10 +76,10 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::readFirstPage()
+void store_reader<Codec>::readFirstPage()
 {
     m_currentStep = [this] { readFirstPage(); };
-    call(Codec::serversTarget({}, read_freshness::MayBeOld), m_options.answerTimeout,
+    call(Codec::serversTarget({}, read_consistency::MayBeStale), m_options.answerTimeout,
          &Codec::readPage, [this](published_page &&page) {
              // An empty list means that the whole fleet has just started; the readers receive the
              // first servers.
@@ -87,19 +87,19 @@
              if (m_listPending)
                  return;
              m_firstPage = std::move(page);
-             readOperations({}, read_freshness::MayBeOld);
+             readOperations({}, read_consistency::MayBeStale);
          });
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::readList(read_freshness serverFreshness)
+void store_reader<Codec>::readList(read_consistency serverFreshness)
 {
     if (std::exchange(m_listPending, false))
         readOperations({}, serverFreshness);
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::readOperations(const std::string &after, read_freshness serverFreshness)
+void store_reader<Codec>::readOperations(const std::string &after, read_consistency serverFreshness)
 {
     m_complete = false;
     m_currentStep = [this, after, serverFreshness] { readOperations(after, serverFreshness); };
@@ -124,7 +124,7 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::readServers(const std::string &after, read_freshness freshness)
+void store_reader<Codec>::readServers(const std::string &after, read_consistency freshness)
 {
     m_currentStep = [this, after, freshness] { readServers(after, freshness); };
     call(Codec::serversTarget(after, freshness), m_options.answerTimeout, &Codec::readPage,
@@ -134,7 +134,7 @@
 // The pages are read at different times and may be seconds old if that is allowed. So the watch
 // begins at the lowest revision of all pages and repeats later changes.
 template <gateway_codec Codec>
-void store_follower<Codec>::onServers(published_page &&page, read_freshness freshness)
+void store_reader<Codec>::onServers(published_page &&page, read_consistency freshness)
 {
     if (m_listRevision == 0 || page.revision < m_listRevision)
         m_listRevision = page.revision;
@@ -147,9 +147,9 @@
     m_list.clear();
     // An old list has the current revision of the store but lacks earlier changes.
     const auto read = std::exchange(m_listRevision, 0);
-    m_revision = freshness == read_freshness::Latest ? read : 0;
+    m_revision = freshness == read_consistency::Latest ? read : 0;
     m_complete = true;
-    m_latest = freshness == read_freshness::Latest;
+    m_latest = freshness == read_consistency::Latest;
     m_awaitingReadDecision = !m_latest;
     if (m_awaitingReadDecision)
         return;
@@ -158,7 +158,7 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::watch()
+void store_reader<Codec>::watch()
 {
     m_currentStep = [this] { watch(); };
     const auto wait = m_hasFollowers ? m_options.watchWaitWithFollowers : m_options.watchWait;
@@ -175,8 +175,8 @@
 }
 
 template <gateway_codec Codec>
-http::pool_call store_follower<Codec>::get(const std::string &target, milliseconds timeout,
-                                           std::function<void(const store_answer &)> onAnswer)
+http::pool_call store_reader<Codec>::get(const std::string &target, milliseconds timeout,
+                                         std::function<void(const store_answer &)> onAnswer)
 {
     const auto read = std::make_shared<open_read>();
     read->onAnswer = std::move(onAnswer);
@@ -208,8 +208,7 @@
 // small link. If the call were abandoned and repeated, each answer would be longer than the last,
 // and this node would never have the latest state.
 template <gateway_codec Codec>
-void store_follower<Codec>::restartTimeout(const std::shared_ptr<open_read> &read,
-                                           milliseconds time)
+void store_reader<Codec>::restartTimeout(const std::shared_ptr<open_read> &read, milliseconds time)
 {
     m_loop.cancelTimer(read->timer);
     read->timer = m_loop.callAfter(time, [this, read] {
@@ -220,8 +219,8 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::call(const std::string &target, milliseconds timeout, page_reader read,
-                                 std::function<void(published_page &&)> onPage)
+void store_reader<Codec>::call(const std::string &target, milliseconds timeout, page_reader read,
+                               std::function<void(published_page &&)> onPage)
 {
     m_call = get(target, timeout,
                  [this, read, onPage, generation = m_readGeneration](const store_answer &answer) {
@@ -239,7 +238,7 @@
 // all followers would occupy the link of a reader for seconds. If the store does not return the
 // text, peers are asked (publication_relay).
 template <gateway_codec Codec>
-void store_follower<Codec>::fetchConfiguration()
+void store_reader<Codec>::fetchConfiguration()
 {
     if (m_fetching || m_loop.now() < m_nextFetch)
         return;
@@ -262,8 +261,8 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::onAnswer(int status, const std::string &body, page_reader read,
-                                     const std::function<void(published_page &&)> &onPage)
+void store_reader<Codec>::onAnswer(int status, const std::string &body, page_reader read,
+                                   const std::function<void(published_page &&)> &onPage)
 {
     constexpr int Ok = 200;
     constexpr int Gone = 410;
@@ -297,16 +296,16 @@
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::onHistoryGone()
+void store_reader<Codec>::onHistoryGone()
 {
     m_log.write(wire::log_level::Info,
                 m_log.line(wire::log_level::Info, toName(log_event::StoreHistoryGone))
                     .add("revision", m_revision));
-    readOperations({}, read_freshness::Latest);
+    readOperations({}, read_consistency::Latest);
 }
 
 template <gateway_codec Codec>
-void store_follower<Codec>::onFailure(std::string_view why)
+void store_reader<Codec>::onFailure(std::string_view why)
 {
     m_state.onStoreFailed();
     if (std::exchange(m_connected, false))
@@ -322,7 +321,7 @@
 // Only the failed step is repeated, not the steps before it: if the store limits the rate of calls,
 // nodes that all start at the same time would otherwise never read all pages.
 template <gateway_codec Codec>
-milliseconds store_follower<Codec>::nextPause()
+milliseconds store_reader<Codec>::nextPause()
 {
     m_backoff = std::clamp(m_backoff * 2, m_options.firstBackoff, m_options.maxBackoff);
     const auto most = static_cast<std::int64_t>(m_backoff.count());
--- a/src/gateway/quarantine/quarantine_relay.cpp
+++ b/src/gateway/quarantine/quarantine_relay.cpp
@@ -43,14 +43,14 @@
     return isHost() ? nullptr : m_peers.linkTo(m_peers.quarantineHost());
 }
 
-server_ends_frame quarantine_relay::makeFrame(const std::vector<server_end> &crashes) const
+server_crashes_frame quarantine_relay::makeFrame(const std::vector<server_crash> &crashes) const
 {
-    server_ends_frame frame;
+    server_crashes_frame frame;
     const auto ago = [now = m_loop.now()](steady_time since) {
         return std::chrono::duration_cast<milliseconds>(now - since);
     };
     for (const auto &each : crashes) {
-        auto &outgoing = frame.ends.emplace_back();
+        auto &outgoing = frame.serverCrashes.emplace_back();
         outgoing.server = each.server;
         outgoing.ago = ago(each.at);
         for (const auto &request : each.requests)
@@ -65,9 +65,10 @@
     if (isHost())
         frame.host = m_peers.self();
     for (const auto &each : entries) {
-        const auto left = std::chrono::duration_cast<milliseconds>(each.expiresAt - m_loop.now());
+        const auto remaining =
+            std::chrono::duration_cast<milliseconds>(each.expiresAt - m_loop.now());
         frame.entries.push_back(
-            {each.request, each.level, each.version, left, each.quarantineCount});
+            {each.request, each.level, each.version, remaining, each.quarantineCount});
     }
     return frame;
 }
@@ -81,13 +82,13 @@
     line.add("from", from).add("by", by.value);
     line.add("ends", found.crashCount).add("charged", found.attributed);
     line.add("servers_ended", joinFirstIds(found.servers));
-    const auto left = std::chrono::duration_cast<milliseconds>(entry.expiresAt - m_loop.now());
-    line.add("times", entry.quarantineCount).add("left_ms", left.count());
+    const auto remaining = std::chrono::duration_cast<milliseconds>(entry.expiresAt - m_loop.now());
+    line.add("times", entry.quarantineCount).add("left_ms", remaining.count());
     m_log.write(wire::log_level::Warning, std::move(line));
 }
 
 // Sends this node's information to the host. Callers leave out what the host itself sent.
-void quarantine_relay::sendToHost(const std::vector<server_end> &crashes,
+void quarantine_relay::sendToHost(const std::vector<server_crash> &crashes,
                                   const std::vector<quarantine_entry> &entries)
 {
     if (isHost())
@@ -101,7 +102,7 @@
         link->send(makeFrame(crashes));
     if (!entries.empty())
         link->send(makeFrame(entries));
-    link->ask();
+    link->sendPing();
     m_hostLink = link;
 }
 
@@ -150,7 +151,7 @@
         if (!link)
             continue;
         link->send(frame);
-        link->ask();
+        link->sendPing();
         m_syncedMembers[peer] = {incarnationNumber, link};
     }
 }
@@ -169,7 +170,7 @@
     const auto frame = makeFrame(entries);
     for (const auto &[peer, synced] : m_syncedMembers) {
         synced.link->send(frame);
-        synced.link->ask();
+        synced.link->sendPing();
     }
     syncNewMembers();
 }
@@ -184,17 +185,17 @@
     publish(changed, origin::Local);
 }
 
-void quarantine_relay::onServerEnd(const server_end &crash)
+void quarantine_relay::onServerCrash(const server_crash &crash)
 {
-    if (!m_quarantine.onServerEnd(crash))
+    if (!m_quarantine.onServerCrash(crash))
         return;
     sendToHost({crash}, {});
     decide();
 }
 
-void quarantine_relay::onServed(const request_digest &request)
+void quarantine_relay::onRequestServed(const request_digest &request)
 {
-    const auto changed = m_quarantine.onServed(request);
+    const auto changed = m_quarantine.onRequestServed(request);
     if (!changed)
         return;
     logEntry(*changed, "served", m_peers.self());
@@ -263,7 +264,7 @@
 {
     std::vector<link_ptr> unresponsive;
     const auto collectIfUnresponsive = [&](const link_ptr &link) {
-        if (link && link->askedAt() && m_loop.now() - *link->askedAt() > LinkReplyTimeout)
+        if (link && link->pingSentAt() && m_loop.now() - *link->pingSentAt() > LinkReplyTimeout)
             unresponsive.push_back(link);
     };
     collectIfUnresponsive(m_hostLink);
@@ -275,7 +276,7 @@
 
 void quarantine_relay::onFrame(const link_ptr &link, const peer_frame &frame)
 {
-    if (const auto *crashes = std::get_if<server_ends_frame>(&frame))
+    if (const auto *crashes = std::get_if<server_crashes_frame>(&frame))
         onServerEndsFrame(*crashes);
     else if (const auto *entries = std::get_if<quarantine_frame>(&frame))
         onQuarantineFrame(*entries);
@@ -287,14 +288,14 @@
         onTrialEnd(link, end->request);
 }
 
-void quarantine_relay::onServerEndsFrame(const server_ends_frame &frame)
+void quarantine_relay::onServerEndsFrame(const server_crashes_frame &frame)
 {
-    std::vector<server_end> newCrashes;
-    for (const auto &each : frame.ends) {
-        server_end crash{each.server, m_loop.now() - each.ago, {}};
+    std::vector<server_crash> newCrashes;
+    for (const auto &each : frame.serverCrashes) {
+        server_crash crash{each.server, m_loop.now() - each.ago, {}};
         for (const auto &request : each.requests)
             crash.requests.push_back({request.digest, m_loop.now() - request.sentAgo});
-        if (m_quarantine.onServerEnd(crash))
+        if (m_quarantine.onServerCrash(crash))
             newCrashes.push_back(crash);
     }
     if (newCrashes.empty())
@@ -313,7 +314,7 @@
     std::vector<quarantine_entry> accepted;
     for (const auto &each : frame.entries) {
         const quarantine_entry entry{each.request, each.level, each.version,
-                                     m_loop.now() + each.left, each.times};
+                                     m_loop.now() + each.remaining, each.quarantineCount};
         const auto kept = m_quarantine.merge(entry);
         if (!kept)
             continue;
--- a/src/gateway/quarantine/quarantine_relay.h
+++ b/src/gateway/quarantine/quarantine_relay.h
@@ -27,14 +27,15 @@
 
     quarantine_relay(http::io_loop &loop, peer_network &peers, wire::log &log);
 
-    [[nodiscard]] request_quarantine::standing standingOf(const request_digest &request) const
+    [[nodiscard]] request_quarantine::quarantine_status
+    statusOf(const request_digest &request) const
     {
-        return m_quarantine.standingOf(request);
+        return m_quarantine.statusOf(request);
     }
     /// Records that this node detected a server crash.
-    void onServerEnd(const server_end &crash);
+    void onServerCrash(const server_crash &crash);
     /// Records that a request through this node was served.
-    void onServed(const request_digest &request);
+    void onRequestServed(const request_digest &request);
     /// Asks the host whether a suspected request may be sent to one server. Calls `answer` exactly
     /// once, and not before this call returns.
     void requestTrial(const request_digest &request, trial_handler answer);
@@ -83,18 +84,18 @@
     [[nodiscard]] link_ptr linkToHost();
     void resyncWithHost();
     void syncNewMembers();
-    void sendToHost(const std::vector<server_end> &crashes,
+    void sendToHost(const std::vector<server_crash> &crashes,
                     const std::vector<quarantine_entry> &entries);
     void publish(const std::vector<quarantine_entry> &entries, origin from);
     void decide();
-    void onServerEndsFrame(const server_ends_frame &frame);
+    void onServerEndsFrame(const server_crashes_frame &frame);
     void onQuarantineFrame(const quarantine_frame &frame);
     void onTrialRequest(const link_ptr &link, const request_digest &request);
     /// `link` is null if the host did not answer in time.
     void onTrialAnswer(const link_ptr &link, const trial_answer &answer);
     void onTrialEnd(const link_ptr &link, const request_digest &request);
     void closeUnresponsiveLinks();
-    [[nodiscard]] server_ends_frame makeFrame(const std::vector<server_end> &crashes) const;
+    [[nodiscard]] server_crashes_frame makeFrame(const std::vector<server_crash> &crashes) const;
     [[nodiscard]] quarantine_frame makeFrame(const std::vector<quarantine_entry> &entries);
     /// `by` is the node that decided the entry; empty if unknown.
     void logEntry(const quarantine_entry &entry, std::string_view from, const vm_id &by);
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -48,9 +48,9 @@
     : m_clock(clock)
 { }
 
-request_quarantine::crash_list::iterator request_quarantine::findCrash(const server_end &crash)
+request_quarantine::crash_list::iterator request_quarantine::findCrash(const server_crash &crash)
 {
-    return std::ranges::find_if(m_crashes, [&](const server_end &each) {
+    return std::ranges::find_if(m_crashes, [&](const server_crash &each) {
         const auto apart = each.at < crash.at ? crash.at - each.at : each.at - crash.at;
         return each.server == crash.server && apart < DuplicateReportWindow;
     });
@@ -62,14 +62,14 @@
     return found != m_served.end() && found->second + ServedRetention > at;
 }
 
-bool request_quarantine::onServerEnd(const server_end &crash)
+bool request_quarantine::onServerCrash(const server_crash &crash)
 {
     auto known = findCrash(crash);
     const bool isNew = known == m_crashes.end();
     if (isNew) {
         if (m_crashes.size() >= MaxCrashes)
             removeCrash(m_crashes.begin());
-        known = m_crashes.insert(m_crashes.end(), server_end{crash.server, crash.at, {}});
+        known = m_crashes.insert(m_crashes.end(), server_crash{crash.server, crash.at, {}});
     }
     bool addsInformation = isNew;
     for (const auto &request : crash.requests) {
@@ -92,7 +92,7 @@
     if (found == m_crashesByRequest.end())
         return exposures;
     for (const auto &crash : found->second) {
-        const auto at = std::ranges::find(crash->requests, request, &interrupted_request::digest);
+        const auto at = std::ranges::find(crash->requests, request, &in_flight_request::digest);
         exposures.push_back({at->sentAt, &*crash});
     }
     std::ranges::sort(exposures, {}, [](const exposure &each) { return each.crash->at; });
@@ -125,14 +125,14 @@
                                          std::uint32_t crashCount) const
 {
     const auto otherCrashCount = crashCountOf(other);
-    const bool quarantined = standingOf(other).level == quarantine_level::Quarantined;
+    const bool quarantined = statusOf(other).level == quarantine_level::Quarantined;
     return otherCrashCount > crashCount || (quarantined && otherCrashCount == crashCount);
 }
 
-bool request_quarantine::isAttributedTo(const server_end &crash, const request_digest &request,
+bool request_quarantine::isAttributedTo(const server_crash &crash, const request_digest &request,
                                         std::uint32_t crashCount) const
 {
-    return std::ranges::none_of(crash.requests, [&](const interrupted_request &other) {
+    return std::ranges::none_of(crash.requests, [&](const in_flight_request &other) {
         return other.digest != request && isLikelierCause(other.digest, crashCount);
     });
 }
@@ -165,13 +165,13 @@
     const auto known = m_entries.find(request);
     if (known != m_entries.end() && known->second.quarantineCount > 0) {
         const bool again = crashedSince(request, known->second.expiresAt);
-        return again ? quarantine_level::Quarantined : standingOf(request).level;
+        return again ? quarantine_level::Quarantined : statusOf(request).level;
     }
     const auto found = evidenceOf(request);
     if (found.attributed >= CrashesToQuarantine)
         return quarantine_level::Quarantined;
     return found.crashCount >= CrashesToSuspect ? quarantine_level::Suspected
-                                                : quarantine_level::Free;
+                                                : quarantine_level::Unrestricted;
 }
 
 quarantine_entry &request_quarantine::setLevel(const request_digest &request,
@@ -203,7 +203,7 @@
 {
     const auto level = evaluateLevel(request);
     const bool full = m_entries.size() >= MaxEntries && !m_entries.contains(request);
-    if (level <= standingOf(request).level || full)
+    if (level <= statusOf(request).level || full)
         return;
     changed.push_back(setLevel(request, level));
     if (level == quarantine_level::Quarantined)
@@ -264,16 +264,16 @@
     m_crashes.erase(crash);
 }
 
-std::optional<quarantine_entry> request_quarantine::onServed(const request_digest &request)
+std::optional<quarantine_entry> request_quarantine::onRequestServed(const request_digest &request)
 {
     if (m_served.size() < MaxServed || m_served.contains(request))
         m_served[request] = m_clock.now();
     m_trialExpiry.erase(request);
     removeExposuresOf(request);
     const auto found = m_entries.find(request);
-    if (found == m_entries.end() || found->second.level == quarantine_level::Free)
+    if (found == m_entries.end() || found->second.level == quarantine_level::Unrestricted)
         return std::nullopt;
-    return setLevel(request, quarantine_level::Free);
+    return setLevel(request, quarantine_level::Unrestricted);
 }
 
 std::optional<quarantine_entry> request_quarantine::merge(const quarantine_entry &entry)
@@ -286,14 +286,16 @@
     auto &kept = m_entries[entry.request];
     kept = entry;
     // The node that decided this entry did not know that the request has been served here.
-    if (kept.level != quarantine_level::Free && servedRecently(entry.request, m_clock.now()))
-        kept = setLevel(entry.request, quarantine_level::Free);
-    if (kept.level == quarantine_level::Free)
+    if (kept.level != quarantine_level::Unrestricted
+        && servedRecently(entry.request, m_clock.now()))
+        kept = setLevel(entry.request, quarantine_level::Unrestricted);
+    if (kept.level == quarantine_level::Unrestricted)
         removeExposuresOf(entry.request);
     return kept;
 }
 
-request_quarantine::standing request_quarantine::standingOf(const request_digest &request) const
+request_quarantine::quarantine_status
+request_quarantine::statusOf(const request_digest &request) const
 {
     const auto found = m_entries.find(request);
     if (found == m_entries.end())
@@ -309,9 +311,9 @@
 
 bool request_quarantine::tryStartTrial(const request_digest &request)
 {
-    const auto level = standingOf(request).level;
+    const auto level = statusOf(request).level;
     if (level != quarantine_level::Suspected)
-        return level == quarantine_level::Free;
+        return level == quarantine_level::Unrestricted;
     const auto now = m_clock.now();
     auto &until = m_trialExpiry[request];
     if (until > now)
@@ -320,7 +322,7 @@
     return true;
 }
 
-std::vector<server_end> request_quarantine::crashes() const
+std::vector<server_crash> request_quarantine::crashes() const
 {
     return {m_crashes.begin(), m_crashes.end()};
 }
--- a/src/gateway/quarantine/request_quarantine.h
+++ b/src/gateway/quarantine/request_quarantine.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/quarantine/request_digest.h"
-#include "gateway/quarantine/server_end_observer.h"
+#include "gateway/quarantine/server_crash_detector.h"
 
 #include <orchidlead/clock.h>
 #include <orchidlead/enum_names.h>
@@ -19,7 +19,7 @@
 
 /// How a request is treated because of server crashes during it.
 enum class quarantine_level : std::uint8_t {
-    Free, ///< sent without restriction
+    Unrestricted, ///< sent without restriction
     Suspected, ///< tried on one server at a time, across all nodes
     Quarantined, ///< not sent to any server
 };
@@ -29,7 +29,7 @@
 struct quarantine_entry
 {
     request_digest request;
-    quarantine_level level = quarantine_level::Free;
+    quarantine_level level = quarantine_level::Unrestricted;
     /// Wall-clock time of the deciding node in microseconds; always greater than the version of the
     /// previous entry.
     std::uint64_t version = 0;
@@ -56,22 +56,22 @@
     explicit request_quarantine(const clock_source &clock);
 
     /// Adds a crash that a node detected. Returns false if it adds no information.
-    bool onServerEnd(const server_end &crash);
+    bool onServerCrash(const server_crash &crash);
     /// Updates the levels of requests that crashes were added for since the last call. Returns the
     /// changed entries.
     [[nodiscard]] std::vector<quarantine_entry> decide();
     /// Records that a server completed the request successfully. Returns the entry if it changed.
-    [[nodiscard]] std::optional<quarantine_entry> onServed(const request_digest &request);
+    [[nodiscard]] std::optional<quarantine_entry> onRequestServed(const request_digest &request);
     /// Merges an entry from another node. Returns the entry that is now in force if it changed.
     [[nodiscard]] std::optional<quarantine_entry> merge(const quarantine_entry &entry);
 
     /// How a request is treated now, and the remaining time of its quarantine if it is in one.
-    struct standing
+    struct quarantine_status
     {
-        quarantine_level level = quarantine_level::Free;
-        milliseconds left{0};
+        quarantine_level level = quarantine_level::Unrestricted;
+        milliseconds remaining{0};
     };
-    [[nodiscard]] standing standingOf(const request_digest &request) const;
+    [[nodiscard]] quarantine_status statusOf(const request_digest &request) const;
 
     /// Returns whether the request may be sent now. For a suspected request this starts a trial,
     /// unless one is in progress.
@@ -79,7 +79,7 @@
     void endTrial(const request_digest &request) { m_trialExpiry.erase(request); }
 
     /// Return the state that another node needs to take over the decisions.
-    [[nodiscard]] std::vector<server_end> crashes() const;
+    [[nodiscard]] std::vector<server_crash> crashes() const;
     [[nodiscard]] std::vector<quarantine_entry> entries() const;
     /// Removes expired records; to be called about once per second.
     void removeExpired();
@@ -94,15 +94,15 @@
     [[nodiscard]] evidence evidenceOf(const request_digest &request) const;
 
 private:
-    using crash_list = std::list<server_end>;
+    using crash_list = std::list<server_crash>;
 
-    [[nodiscard]] crash_list::iterator findCrash(const server_end &crash);
+    [[nodiscard]] crash_list::iterator findCrash(const server_crash &crash);
     [[nodiscard]] bool servedRecently(const request_digest &request, steady_time at) const;
     /// One crash during which a request was in flight.
     struct exposure
     {
         steady_time sentAt;
-        const server_end *crash = nullptr;
+        const server_crash *crash = nullptr;
     };
     [[nodiscard]] std::vector<exposure> exposuresOf(const request_digest &request) const;
     [[nodiscard]] static std::uint32_t countIndependent(const std::vector<exposure> &exposures);
@@ -110,7 +110,7 @@
     /// Returns whether `other` is a likelier cause of a crash than a request with `crashCount`
     /// independent crashes.
     [[nodiscard]] bool isLikelierCause(const request_digest &other, std::uint32_t crashCount) const;
-    [[nodiscard]] bool isAttributedTo(const server_end &crash, const request_digest &request,
+    [[nodiscard]] bool isAttributedTo(const server_crash &crash, const request_digest &request,
                                       std::uint32_t crashCount) const;
     [[nodiscard]] bool crashedSince(const request_digest &request, steady_time since) const;
     [[nodiscard]] quarantine_level evaluateLevel(const request_digest &request) const;
@@ -134,7 +134,7 @@
 template <>
 inline constexpr std::array orchidlead::enumNames<orchidlead::gateway::quarantine_level>{
     orchidlead::enum_name<orchidlead::gateway::quarantine_level>{
-        orchidlead::gateway::quarantine_level::Free, "free"},
+        orchidlead::gateway::quarantine_level::Unrestricted, "free"},
     orchidlead::enum_name<orchidlead::gateway::quarantine_level>{
         orchidlead::gateway::quarantine_level::Suspected, "suspected"},
     orchidlead::enum_name<orchidlead::gateway::quarantine_level>{
--- a/src/gateway/quarantine/server_end_observer.cpp
+++ b/src/gateway/quarantine/server_crash_detector.cpp
@@ -1,14 +1,14 @@
-#include "gateway/quarantine/server_end_observer.h"
+#include "gateway/quarantine/server_crash_detector.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace orchidlead::gateway {
 
-bool addInterruptedRequest(server_end &crash, const interrupted_request &request)
+bool addInterruptedRequest(server_crash &crash, const in_flight_request &request)
 {
     const auto known =
-        std::ranges::find(crash.requests, request.digest, &interrupted_request::digest);
+        std::ranges::find(crash.requests, request.digest, &in_flight_request::digest);
     if (known == crash.requests.end()) {
         crash.requests.push_back(request);
         return true;
@@ -17,14 +17,14 @@
     return false;
 }
 
-server_end_observer::server_end_observer(const clock_source &clock)
+server_crash_detector::server_crash_detector(const clock_source &clock)
     : m_clock(clock)
 { }
 
 // All connections to a crashed server break within milliseconds of each other, so one probe
 // connection is enough for all of them.
-bool server_end_observer::onBroken(const backend_server_id &server,
-                                   const interrupted_request &request)
+bool server_crash_detector::onConnectionBroken(const backend_server_id &server,
+                                               const in_flight_request &request)
 {
     const auto [probed, isFirst] = m_probed.try_emplace(server);
     if (isFirst) {
@@ -35,7 +35,7 @@
     return isFirst;
 }
 
-std::optional<server_end> server_end_observer::onConnectOutcome(const backend_server_id &server)
+std::optional<server_crash> server_crash_detector::onProbeResult(const backend_server_id &server)
 {
     auto node = m_probed.extract(server);
     if (node.empty())
--- a/src/gateway/quarantine/server_end_observer.h
+++ b/src/gateway/quarantine/server_crash_detector.h
@@ -13,44 +13,44 @@
 namespace orchidlead::gateway {
 
 /// A request that was in flight to a server when the server crashed.
-struct interrupted_request
+struct in_flight_request
 {
     request_digest digest;
     steady_time sentAt;
 };
 
 /// The crash of a server that had requests in flight.
-struct server_end
+struct server_crash
 {
     backend_server_id server;
     steady_time at; ///< when the first connection broke
-    std::vector<interrupted_request> requests; ///< without duplicates
+    std::vector<in_flight_request> requests; ///< without duplicates
 };
 
 /// Adds a request that was in flight to the server. Several copies of a request are kept as one,
 /// with the earliest send time. Returns false if the request is already listed.
-bool addInterruptedRequest(server_end &crash, const interrupted_request &request);
+bool addInterruptedRequest(server_crash &crash, const in_flight_request &request);
 
 /// Distinguishes crashed servers from broken connections: after a connection breaks in the middle
 /// of an answer, a new connection to the server is refused if the server no longer listens. Does no
 /// I/O itself.
-class server_end_observer
+class server_crash_detector
 {
 public:
-    explicit server_end_observer(const clock_source &clock);
+    explicit server_crash_detector(const clock_source &clock);
 
     /// Records that a connection broke while the request was in flight to the server. Returns
     /// whether the caller must open a probe connection to the server now and report its outcome
-    /// with `onConnectOutcome`.
-    [[nodiscard]] bool onBroken(const backend_server_id &server,
-                                const interrupted_request &request);
+    /// with `onProbeResult`.
+    [[nodiscard]] bool onConnectionBroken(const backend_server_id &server,
+                                          const in_flight_request &request);
     /// Returns the requests that were in flight when connections to the server broke; empty if no
     /// connection to it broke.
-    [[nodiscard]] std::optional<server_end> onConnectOutcome(const backend_server_id &server);
+    [[nodiscard]] std::optional<server_crash> onProbeResult(const backend_server_id &server);
 
 private:
     const clock_source &m_clock;
-    std::map<backend_server_id, server_end> m_probed; ///< servers with an open probe connection
+    std::map<backend_server_id, server_crash> m_probed; ///< servers with an open probe connection
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/leaving_relay.cpp
+++ b/src/gateway/servers/leaving_server_relay.cpp
@@ -1,11 +1,11 @@
-#include "gateway/servers/leaving_relay.h"
+#include "gateway/servers/leaving_server_relay.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace orchidlead::gateway {
 
-leaving_relay::leaving_relay(
+leaving_server_relay::leaving_server_relay(
     peer_network &peers, server_directory &directory,
     std::function<void(const server_start &, const vm_id &from)> onPeerReport)
     : m_peers(peers)
@@ -13,14 +13,14 @@
     , m_onPeerReport(std::move(onPeerReport))
 { }
 
-void leaving_relay::onLeavingSaid(const server &backend)
+void leaving_server_relay::onLeavingAnnounced(const server &backend)
 {
     sendToReceivers({backend.record.start()}, nullptr);
 }
 
 // Receivers without an entry in `m_notified` get the full list from the next `tick()`.
-void leaving_relay::sendToReceivers(const std::vector<server_start> &newlyLeaving,
-                                    const link_ptr &except)
+void leaving_server_relay::sendToReceivers(const std::vector<server_start> &newlyLeaving,
+                                           const link_ptr &except)
 {
     const peer_frame frame = leaving_servers_frame{newlyLeaving};
     for (const auto &[vm, notified] : m_notified) {
@@ -30,9 +30,9 @@
     tick();
 }
 
-void leaving_relay::tick()
+void leaving_server_relay::tick()
 {
-    const auto &receivers = m_peers.newsReceivers();
+    const auto &receivers = m_peers.broadcastTargets();
     std::erase_if(m_notified, [&](const auto &entry) {
         return std::ranges::find(receivers, entry.first) == receivers.end();
     });
@@ -53,7 +53,7 @@
     }
 }
 
-void leaving_relay::onFrame(const link_ptr &link, const peer_frame &frame)
+void leaving_server_relay::onFrame(const link_ptr &link, const peer_frame &frame)
 {
     const auto *received = std::get_if<leaving_servers_frame>(&frame);
     if (!received)
@@ -71,7 +71,7 @@
     sendToReceivers(newlyLeaving, link);
 }
 
-void leaving_relay::onLinkClosed(const link_ptr &link)
+void leaving_server_relay::onLinkClosed(const link_ptr &link)
 {
     std::erase_if(m_notified, [&](const auto &entry) { return entry.second.link == link; });
 }
--- a/src/gateway/servers/leaving_relay.h
+++ b/src/gateway/servers/leaving_server_relay.h
@@ -14,16 +14,16 @@
 
 /// Exchanges with other nodes which servers have announced in responses that they are leaving.
 ///
-/// A newly leaving server is forwarded to this node's receivers (`peer_view::newsReceivers`) at
+/// A newly leaving server is forwarded to this node's receivers (`peer_view::broadcastTargets`) at
 /// once. A new receiver gets the full list. Nothing is sent while no server is leaving.
-class leaving_relay
+class leaving_server_relay
 {
 public:
-    leaving_relay(peer_network &peers, server_directory &directory,
-                  std::function<void(const server_start &, const vm_id &from)> onPeerReport);
+    leaving_server_relay(peer_network &peers, server_directory &directory,
+                         std::function<void(const server_start &, const vm_id &from)> onPeerReport);
 
     /// Called when a response to this node is the first to announce that the server is leaving.
-    void onLeavingSaid(const server &backend);
+    void onLeavingAnnounced(const server &backend);
     /// Sends the full list to new receivers; call about every 100 ms.
     void tick();
     /// Handles frames about leaving servers; other frames are ignored.
--- a/src/gateway/servers/pool_widths.cpp
+++ b/src/gateway/servers/pool_splitter.cpp
@@ -1,18 +1,18 @@
-#include "gateway/servers/pool_widths.h"
+#include "gateway/servers/pool_splitter.h"
 
 #include <algorithm>
 
 namespace orchidlead::gateway {
 
-pool_widths::pool_widths(const server_directory &directory, const pool_width_limits &limits)
+pool_splitter::pool_splitter(const server_directory &directory, const pool_split_limits &limits)
     : m_directory(directory)
     , m_limits(limits)
 { }
 
 // Data centres without a usable server are not counted: one that has lost all its servers uses a
 // pool of another data centre, and the other data centres keep their own pools.
-const pool_widths::split_state &pool_widths::splitStateOf(const service_id &service,
-                                                          const region_id &region)
+const pool_splitter::split_state &pool_splitter::splitStateOf(const service_id &service,
+                                                              const region_id &region)
 {
     auto &cached = m_splitStates[{service, region}];
     if (cached.directoryChanges == m_directory.changes())
@@ -22,23 +22,25 @@
     for (const auto &each : m_directory.usable(pool_key{service, {}, region}))
         ++cached.servers[each->record.dataCenter];
     if (cached.servers.size() < 2) {
-        cached.split = false;
+        cached.isSplit = false;
         return cached;
     }
     const auto fewest = std::ranges::min_element(cached.servers, {}, [](const auto &entry) {
                             return entry.second;
                         })->second;
-    cached.split = fewest >= (cached.split ? m_limits.join : m_limits.split);
+    cached.isSplit =
+        fewest >= (cached.isSplit ? m_limits.minServersToStaySplit : m_limits.minServersToSplit);
     return cached;
 }
 
-// Prefers the region of `near`, then the region with the most servers.
-region_id pool_widths::regionFor(const service_id &service, const data_center_id &near,
-                                 const residency &allowed) const
+// Prefers the region of `preferredDataCenter`, then the region with the most servers.
+region_id pool_splitter::regionFor(const service_id &service,
+                                   const data_center_id &preferredDataCenter,
+                                   const residency &allowed) const
 {
     if (!m_directory.severalRegions())
         return {};
-    auto preferredRegion = m_directory.regionOf(near);
+    auto preferredRegion = m_directory.regionOf(preferredDataCenter);
     std::map<region_id, std::size_t> servers;
     for (const auto &each : m_directory.usable(service, allowed))
         ++servers[each->region];
@@ -48,15 +50,15 @@
         ->first;
 }
 
-pool_key pool_widths::poolFor(const service_id &service, const data_center_id &near,
-                              const residency &allowed)
+pool_key pool_splitter::poolFor(const service_id &service,
+                                const data_center_id &preferredDataCenter, const residency &allowed)
 {
-    const auto region = regionFor(service, near, allowed);
+    const auto region = regionFor(service, preferredDataCenter, allowed);
     const auto &cached = splitStateOf(service, region);
-    if (!cached.split)
+    if (!cached.isSplit)
         return {service, {}, region};
-    if (cached.servers.contains(near))
-        return {service, near, region};
+    if (cached.servers.contains(preferredDataCenter))
+        return {service, preferredDataCenter, region};
     const auto largest = std::ranges::max_element(cached.servers, {},
                                                   [](const auto &entry) { return entry.second; });
     return {service, largest->first, region};
--- a/src/gateway/servers/pool_widths.h
+++ b/src/gateway/servers/pool_splitter.h
@@ -13,10 +13,10 @@
 
 /// Limits on the number of servers in the data centre with the fewest servers, from which on each
 /// data centre gets its own pool.
-struct pool_width_limits
+struct pool_split_limits
 {
-    std::size_t split = 0; ///< pools are split from this number on
-    std::size_t join = 0; ///< pools are joined again below this number
+    std::size_t minServersToSplit = 0; ///< pools are split from this number on
+    std::size_t minServersToStaySplit = 0; ///< pools are joined again below this number
 };
 
 /// Decides whether each service has one pool per region or one pool per data centre. No pool spans
@@ -27,17 +27,19 @@
 /// lose contact, and spread the scheduling work over several hosts. Joined pools fill batched calls
 /// where a data centre has few servers. Each node decides from the servers that it knows; while
 /// nodes disagree, a server may get work from two hosts.
-class pool_widths
+class pool_splitter
 {
 public:
-    pool_widths(const server_directory &directory, const pool_width_limits &limits);
+    pool_splitter(const server_directory &directory, const pool_split_limits &limits);
 
     /// Disables splitting of pools for good.
-    void keepJoined() { m_limits = {NeverSplit, NeverSplit}; }
+    void disableSplitting() { m_limits = {NeverSplit, NeverSplit}; }
 
-    /// Returns the pool for work that is best done in `near` and is restricted to the regions of
-    /// `allowed`. The pool is in the region of `near` if that region is allowed and has servers.
-    [[nodiscard]] pool_key poolFor(const service_id &service, const data_center_id &near,
+    /// Returns the pool for work that is best done in `preferredDataCenter` and is restricted to
+    /// the regions of `allowed`. The pool is in the region of `preferredDataCenter` if that region
+    /// is allowed and has servers.
+    [[nodiscard]] pool_key poolFor(const service_id &service,
+                                   const data_center_id &preferredDataCenter,
                                    const residency &allowed = {});
 
 private:
@@ -47,17 +49,18 @@
     {
         std::uint64_t directoryChanges =
             0; ///< value of `server_directory::changes()` at the last evaluation
-        bool split = false;
+        bool isSplit = false;
         std::map<data_center_id, std::size_t> servers; ///< usable servers
     };
 
     [[nodiscard]] const split_state &splitStateOf(const service_id &service,
                                                   const region_id &region);
-    [[nodiscard]] region_id regionFor(const service_id &service, const data_center_id &near,
+    [[nodiscard]] region_id regionFor(const service_id &service,
+                                      const data_center_id &preferredDataCenter,
                                       const residency &allowed) const;
 
     const server_directory &m_directory;
-    pool_width_limits m_limits;
+    pool_split_limits m_limits;
     std::map<std::pair<service_id, region_id>, split_state>
         m_splitStates; ///< the region is empty if there is only one
 };
--- a/src/gateway/servers/rate_pace.h
+++ b/src/gateway/servers/rate_pacer.h
@@ -13,10 +13,10 @@
 /// A rate limit covers the requests of all nodes, and no node sees the requests of the others. The
 /// node that hosts a server's pool therefore paces all requests to the server, within its share of
 /// the limit (`peer_view`).
-class rate_pace
+class rate_pacer
 {
 public:
-    explicit rate_pace(const clock_source &clock)
+    explicit rate_pacer(const clock_source &clock)
         : m_clock(clock)
     { }
 
@@ -25,7 +25,7 @@
     [[nodiscard]] bool allows(const server &backend, double share) const;
     /// Returns the earliest time at which a request may be sent, at least the present time. `share`
     /// must be greater than 0 unless the server has no rate limit.
-    [[nodiscard]] steady_time nextAt(const server &backend, double share) const;
+    [[nodiscard]] steady_time nextAllowedAt(const server &backend, double share) const;
     /// Counts a request that is sent now or at its scheduled time.
     void onSent(const server &backend, double share);
 
--- a/src/gateway/servers/residency.h
+++ b/src/gateway/servers/residency.h
@@ -20,7 +20,7 @@
         : m_regions(std::move(regions))
     { }
 
-    [[nodiscard]] bool bound() const { return m_regions.has_value(); }
+    [[nodiscard]] bool restricted() const { return m_regions.has_value(); }
     /// Returns whether a server of this region may process the request. If the request is
     /// restricted, a server of unknown region (empty) is not allowed.
     [[nodiscard]] bool allows(const region_id &region) const
--- a/src/gateway/servers/server_directory.cpp
+++ b/src/gateway/servers/server_directory.cpp
@@ -60,7 +60,7 @@
     return {text.data(), end};
 }
 
-std::optional<effective_rate_limit> server::bound(steady_time now) const
+std::optional<effective_rate_limit> server::effectiveRateLimit(steady_time now) const
 {
     std::optional<effective_rate_limit> found;
     if (cold(now) && coldStart.rate > 0)
@@ -105,21 +105,21 @@
 }
 
 // A record without a start time never replaces the start time that is already known.
-void server_directory::put(const server_record &published, milliseconds coldFor)
+void server_directory::put(const server_record &published, milliseconds coldTimeLeft)
 {
     auto record = published;
     if (const auto known = find(record.id)) {
-        if (!record.born)
-            record.born = known->record.born;
-        if (record.born < known->record.born)
+        if (!record.startedAt)
+            record.startedAt = known->record.startedAt;
+        if (record.startedAt < known->record.startedAt)
             return;
         const bool moved = record.service != known->record.service
             || record.dataCenter != known->record.dataCenter;
-        if (moved || record.born != known->record.born)
+        if (moved || record.startedAt != known->record.startedAt)
             remove(record.id);
     }
     auto &entry = m_servers[record.id];
-    const auto coldUntil = m_clock.now() + coldFor;
+    const auto coldUntil = m_clock.now() + coldTimeLeft;
     if (!entry) {
         entry = std::make_shared<server>();
         if (const auto unpublished = m_unpublished.extract(record.start()); !unpublished.empty())
@@ -128,7 +128,7 @@
         entry->coldStart = m_coldStarts[record.service];
         entry->coldUntil = coldUntil;
         entry->region = regionOf(record.dataCenter);
-        entry->cutOff = m_cutOff.contains(record.dataCenter);
+        entry->unreachable = m_unreachable.contains(record.dataCenter);
         entry->evacuated = m_evacuated.contains(record.dataCenter);
         auto &servers = m_byService[record.service];
         servers.all.push_back(entry);
@@ -136,7 +136,7 @@
         notifyChange(record.service);
         return;
     }
-    if (coldFor > milliseconds{0})
+    if (coldTimeLeft > milliseconds{0})
         entry->coldUntil = coldUntil;
     const bool differs = entry->record.leaving != record.leaving;
     entry->record = record;
@@ -144,7 +144,7 @@
         notifyChange(record.service);
 }
 
-void server_directory::setColdStart(const service_id &service, const cold_start &start)
+void server_directory::setColdStart(const service_id &service, const cold_start_settings &start)
 {
     m_coldStarts[service] = start;
     for (const auto &each : m_byService[service].all)
@@ -166,13 +166,13 @@
     notifyChange(entry->record.service);
 }
 
-void server_directory::setCutOff(const data_center_id &dataCenter, bool cutOff)
+void server_directory::setUnreachable(const data_center_id &dataCenter, bool unreachable)
 {
-    if (cutOff)
-        m_cutOff.insert(dataCenter);
+    if (unreachable)
+        m_unreachable.insert(dataCenter);
     else
-        m_cutOff.erase(dataCenter);
-    updateServersIn(dataCenter, [&](server &each) { each.cutOff = cutOff; });
+        m_unreachable.erase(dataCenter);
+    updateServersIn(dataCenter, [&](server &each) { each.unreachable = unreachable; });
 }
 
 void server_directory::setEvacuated(const data_center_id &dataCenter, bool evacuated)
@@ -204,7 +204,7 @@
         notifyChange(service);
 }
 
-server_ptr server_directory::anyIn(const data_center_id &dataCenter)
+server_ptr server_directory::nextServerIn(const data_center_id &dataCenter)
 {
     const auto isInDataCenter = [&](const auto &entry) {
         return entry.second->record.dataCenter == dataCenter;
@@ -284,30 +284,31 @@
         && std::ranges::any_of(*list, [](const server_ptr &each) { return each->usable(); });
 }
 
-bool server_directory::anyBounded(const service_id &service, const residency &allowed) const
+bool server_directory::anyRateLimited(const service_id &service, const residency &allowed) const
 {
     const auto found = m_byService.find(service);
     const auto now = m_clock.now();
     return found != m_byService.end()
         && std::ranges::any_of(found->second.all, [&](const server_ptr &each) {
-               return each->usable() && allowed.allows(each->region) && each->bound(now);
+               return each->usable() && allowed.allows(each->region)
+                   && each->effectiveRateLimit(now);
            });
 }
 
-bool server_directory::allBounded(const service_id &service, const residency &allowed) const
+bool server_directory::allRateLimited(const service_id &service, const residency &allowed) const
 {
-    if (!anyBounded(service, allowed))
+    if (!anyRateLimited(service, allowed))
         return false;
     const auto now = m_clock.now();
     return std::ranges::all_of(m_byService.at(service).all, [&](const server_ptr &each) {
-        return !each->usable() || !allowed.allows(each->region) || each->bound(now);
+        return !each->usable() || !allowed.allows(each->region) || each->effectiveRateLimit(now);
     });
 }
 
 template <class Predicate>
-server_absence server_directory::absenceAmong(const service_id &service,
-                                              server_absence defaultReason,
-                                              Predicate isRelevant) const
+unavailability server_directory::unavailabilityAmong(const service_id &service,
+                                                     unavailability defaultReason,
+                                                     Predicate isRelevant) const
 {
     const auto found = m_byService.find(service);
     if (found == m_byService.end())
@@ -317,44 +318,47 @@
         if (!isRelevant(*each))
             continue;
         if (each->usable())
-            return server_absence::None;
-        const bool leaves = !each->gone && !each->cutOff && each->leaves();
-        if (each->evacuated && !each->leaves())
-            reason = server_absence::Evacuated;
-        else if (leaves && reason != server_absence::Evacuated)
-            reason = server_absence::Leaving;
+            return unavailability::None;
+        const bool isLeaving = !each->gone && !each->unreachable && each->isLeaving();
+        if (each->evacuated && !each->isLeaving())
+            reason = unavailability::Evacuated;
+        else if (isLeaving && reason != unavailability::Evacuated)
+            reason = unavailability::Leaving;
     }
     return reason;
 }
 
-server_absence server_directory::absenceOf(const service_id &service,
-                                           const residency &allowed) const
+unavailability server_directory::unavailabilityOf(const service_id &service,
+                                                  const residency &allowed) const
 {
-    const auto defaultReason = allowed.bound() ? server_absence::OutOfRegion : server_absence::Gone;
-    return absenceAmong(service, defaultReason,
-                        [&](const server &each) { return allowed.allows(each.region); });
+    const auto defaultReason =
+        allowed.restricted() ? unavailability::NoServerInRegion : unavailability::NoneReachable;
+    return unavailabilityAmong(service, defaultReason,
+                               [&](const server &each) { return allowed.allows(each.region); });
 }
 
-server_absence server_directory::absenceOf(const pool_key &pool) const
+unavailability server_directory::unavailabilityOf(const pool_key &pool) const
 {
-    return absenceAmong(pool.service, server_absence::Gone,
-                        [&](const server &each) { return each.isIn(pool); });
+    return unavailabilityAmong(pool.service, unavailability::NoneReachable,
+                               [&](const server &each) { return each.isIn(pool); });
 }
 
-double server_directory::costOf(const server &backend, const server_wish &wish) const
+double server_directory::costOf(const server &backend, const server_query &query) const
 {
     const auto now = m_clock.now();
     double cost = backend.outstanding;
-    if (backend.load && now - backend.loadAt < LoadReportLifetime) {
+    if (backend.load && now - backend.loadReportedAt < LoadReportLifetime) {
         const double reported = backend.load->running + backend.load->waiting;
         cost = std::max(cost, reported);
     }
     cost /= std::max(1U, backend.record.slots);
-    if (!wish.near.empty() && backend.record.dataCenter != wish.near)
+    if (!query.preferredDataCenter.empty()
+        && backend.record.dataCenter != query.preferredDataCenter)
         cost += OtherDataCenterCost / std::max(1U, backend.record.slots);
-    if (m_severalRegions && !wish.near.empty() && backend.region != regionOf(wish.near))
+    if (m_severalRegions && !query.preferredDataCenter.empty()
+        && backend.region != regionOf(query.preferredDataCenter))
         cost += OtherRegionCost / std::max(1U, backend.record.slots);
-    if (!wish.exclude.empty() && !answeredRecently(backend))
+    if (!query.exclude.empty() && !answeredRecently(backend))
         cost += NoRecentAnswerCost;
     if (backend.avoidUntil > now)
         cost += AvoidedCost;
@@ -390,16 +394,16 @@
     return useSecond ? second.server : first.server;
 }
 
-server_ptr server_directory::choose(const server_wish &wish) const
+server_ptr server_directory::choose(const server_query &query) const
 {
     std::vector<server_ptr> best;
     double bestCost = std::numeric_limits<double>::max();
-    for (const auto &each : usable(wish.service, wish.allowed)) {
-        if (std::ranges::find(wish.exclude, each->record.id) != wish.exclude.end())
+    for (const auto &each : usable(query.service, query.allowed)) {
+        if (std::ranges::find(query.exclude, each->record.id) != query.exclude.end())
             continue;
-        if (each->bound(m_clock.now()) || !each->takes(m_clock.now()))
+        if (each->effectiveRateLimit(m_clock.now()) || !each->accepts(m_clock.now()))
             continue;
-        const double cost = costOf(*each, wish);
+        const double cost = costOf(*each, query);
         if (cost > bestCost)
             continue;
         if (cost < bestCost)
@@ -410,21 +414,21 @@
     return chooseAmongEqual(best);
 }
 
-void server_directory::onAnswerBegun(const server &backend) const
+void server_directory::onResponseBegin(const server &backend) const
 {
-    if (m_onHeard)
-        m_onHeard(backend.record.dataCenter);
+    if (m_onContact)
+        m_onContact(backend.record.dataCenter);
 }
 
 void server_directory::onAnswer(server &backend)
 {
-    onAnswerBegun(backend);
+    onResponseBegin(backend);
     backend.lastAnswerAt = m_clock.now();
     const bool wasAvoided = backend.failures >= FailuresBeforeAvoidance;
     backend.failures = 0;
     backend.avoidUntil = {};
-    if (wasAvoided && m_onDoubt)
-        m_onDoubt(backend, false);
+    if (wasAvoided && m_onAvoidanceChanged)
+        m_onAvoidanceChanged(backend, false);
 }
 
 void server_directory::onFailure(server &backend)
@@ -435,8 +439,8 @@
     const auto doublings =
         std::min(backend.failures - FailuresBeforeAvoidance, MaxAvoidanceDoublings);
     backend.avoidUntil = m_clock.now() + InitialAvoidance * (1U << doublings);
-    if (backend.failures == FailuresBeforeAvoidance && m_onDoubt)
-        m_onDoubt(backend, true);
+    if (backend.failures == FailuresBeforeAvoidance && m_onAvoidanceChanged)
+        m_onAvoidanceChanged(backend, true);
 }
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/server_directory.h
+++ b/src/gateway/servers/server_directory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/servers/cold_start.h"
+#include "gateway/servers/cold_start_settings.h"
 #include "gateway/servers/effective_rate_limit.h"
 #include "gateway/servers/pool_key.h"
 #include "gateway/servers/residency.h"
@@ -27,7 +27,8 @@
 struct server_start
 {
     backend_server_id id;
-    std::optional<std::uint64_t> born; ///< start time in Unix milliseconds; empty: not published
+    std::optional<std::uint64_t>
+        startedAt; ///< start time in Unix milliseconds; empty: not published
 
     // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
     friend auto operator<=>(const server_start &, const server_start &) = default;
@@ -37,14 +38,14 @@
 struct server_record
 {
     backend_server_id id;
-    std::optional<std::uint64_t> born; ///< as in `server_start`
+    std::optional<std::uint64_t> startedAt; ///< as in `server_start`
     service_id service;
     socket_address address;
     data_center_id dataCenter;
     std::uint32_t slots = 1;
     bool leaving = false; ///< gets no new work
 
-    [[nodiscard]] server_start start() const { return {id, born}; }
+    [[nodiscard]] server_start start() const { return {id, startedAt}; }
     friend bool operator==(const server_record &, const server_record &) = default;
 };
 
@@ -55,9 +56,9 @@
 /// start changes it.
 struct retained_signals
 {
-    std::optional<double> rateLimit; ///< as in `told_rate_limit`
+    std::optional<double> rateLimit; ///< as in `reported_rate_limit`
     steady_time rateLimitReportedAt{}; ///< time of the last report, also of one of no limit
-    bool saidLeaving = false; ///< permanent, whatever the published record says
+    bool announcedLeaving = false; ///< permanent, whatever the published record says
     steady_time backoffUntil{}; ///< end of the backoff that the server requested from this node
     bool probing = false; ///< the server has accepted no request since the end of the backoff
     steady_time probeUntil{}; ///< while `probing`: no second request is sent before this time
@@ -69,75 +70,79 @@
     server_record record;
     region_id region; ///< region of its data centre; empty: unknown
     bool gone = false; ///< no longer published, or another server uses its address
-    bool cutOff = false; ///< its data centre can't be reached
+    bool unreachable = false; ///< its data centre can't be reached
     bool evacuated = false; ///< operators have evacuated its data centre
     std::uint32_t outstanding = 0; ///< requests of this node in progress
     std::optional<server_load> load;
-    steady_time loadAt{}; ///< time of the load report
+    steady_time loadReportedAt{}; ///< time of the load report
     steady_time sentAt{}; ///< time of the last request from this node
     std::optional<steady_time> lastAnswerAt; ///< time of the last response to this node
     std::uint32_t failures = 0; ///< consecutive
     std::uint32_t refusals =
         0; ///< consecutive; those that arrive while the server is already avoided count once
     steady_time avoidUntil{}; ///< end of the avoidance after failures or refusals
-    cold_start coldStart; ///< settings of its service
+    cold_start_settings coldStart; ///< settings of its service
     steady_time
         coldUntil{}; ///< end of the cold phase, in which the server can handle only few requests
-    double slowness = 1.0; ///< moving average of actual time relative to expected time of its work
+    double latencyRatio =
+        1.0; ///< moving average of actual time relative to expected time of its work
 
     /// Returns whether the server is in its cold phase, in which it crashes if it gets more
     /// requests than its service's settings allow.
     [[nodiscard]] bool cold(steady_time now) const { return now < coldUntil; }
     /// Returns the remaining time of the cold phase.
-    [[nodiscard]] milliseconds coldLeft(steady_time now) const
+    [[nodiscard]] milliseconds remainingColdTime(steady_time now) const
     {
         return std::chrono::duration_cast<milliseconds>(
             std::max(coldUntil - now, steady_time::duration::zero()));
     }
     /// Returns the limit on the requests of all nodes together; empty if there is none. Every path
     /// that chooses servers must check this: it combines cold starts and announced rate limits.
-    [[nodiscard]] std::optional<effective_rate_limit> bound(steady_time now) const;
+    [[nodiscard]] std::optional<effective_rate_limit> effectiveRateLimit(steady_time now) const;
     /// Returns whether the server belongs to a pool.
     [[nodiscard]] bool isIn(const pool_key &pool) const;
     /// Returns whether the server shuts down soon, according to its published record or its
     /// responses.
-    [[nodiscard]] bool leaves() const { return record.leaving || saidLeaving; }
+    [[nodiscard]] bool isLeaving() const { return record.leaving || announcedLeaving; }
     /// Returns whether the server may get new work. Every path to a server checks this, the last
     /// time right before bytes are sent.
-    [[nodiscard]] bool usable() const { return !gone && !cutOff && !evacuated && !leaves(); }
+    [[nodiscard]] bool usable() const
+    {
+        return !gone && !unreachable && !evacuated && !isLeaving();
+    }
     /// Returns the time from which on this node may send requests to the server, as far as backoff
     /// and probing are concerned.
-    [[nodiscard]] steady_time takesFrom() const
+    [[nodiscard]] steady_time acceptsFrom() const
     {
         return probing ? std::max(backoffUntil, probeUntil) : backoffUntil;
     }
     /// Returns whether this node may send a request now. Like `usable()`, this is checked by every
     /// path on which this node itself sends. A backoff requested from one node does not apply to
     /// others.
-    [[nodiscard]] bool takes(steady_time now) const { return usable() && now >= takesFrom(); }
+    [[nodiscard]] bool accepts(steady_time now) const { return usable() && now >= acceptsFrom(); }
 };
 
 using server_ptr = std::shared_ptr<server>;
 
 /// Why no server of a service may get new work.
-enum class server_absence : std::uint8_t {
+enum class unavailability : std::uint8_t {
     None, ///< a server is available
-    Gone, ///< no server is published and reachable
+    NoneReachable, ///< no server is published and reachable
     Leaving, ///< all servers left are leaving
     Evacuated, ///< the servers left are in data centres that operators have evacuated
-    OutOfRegion, ///< no server is reachable in the allowed regions
+    NoServerInRegion, ///< no server is reachable in the allowed regions
 };
 
 /// Returns a random extension of a requested backoff, as a fraction of its length.
 using backoff_spread = std::function<double()>;
 
 /// Criteria for choosing a server.
-struct server_wish
+struct server_query
 {
     service_id service;
     std::vector<backend_server_id> exclude; ///< servers already tried; if there are any, servers
                                             ///< with a recent response are preferred
-    data_center_id near; ///< preferred data centre
+    data_center_id preferredDataCenter; ///< preferred data centre
     residency allowed;
 };
 
@@ -159,11 +164,11 @@
     /// Returns the region of a data centre; empty if unknown.
     [[nodiscard]] region_id regionOf(const data_center_id &dataCenter) const;
     /// Adds a server or updates its record. A later start of the server gets fresh state; a record
-    /// of an earlier start is ignored. `coldFor` is the remaining cold time that the server
+    /// of an earlier start is ignored. `coldTimeLeft` is the remaining cold time that the server
     /// published; 0 leaves the known value unchanged.
-    void put(const server_record &record, milliseconds coldFor = {});
+    void put(const server_record &record, milliseconds coldTimeLeft = {});
     /// Sets the cold-start settings of a service, for known servers as well.
-    void setColdStart(const service_id &service, const cold_start &start);
+    void setColdStart(const service_id &service, const cold_start_settings &start);
     void remove(const backend_server_id &id);
     [[nodiscard]] server_ptr find(const backend_server_id &id) const;
     /// Returns all published servers, ordered by id.
@@ -178,9 +183,9 @@
     [[nodiscard]] bool usableIn(const service_id &service, const data_center_id &dataCenter) const;
     /// Returns whether any usable server of a service is rate-limited. The requests of all nodes
     /// must then be placed by a single node.
-    [[nodiscard]] bool anyBounded(const service_id &service, const residency &allowed) const;
+    [[nodiscard]] bool anyRateLimited(const service_id &service, const residency &allowed) const;
     /// Returns whether the service has usable servers and all of them are rate-limited.
-    [[nodiscard]] bool allBounded(const service_id &service, const residency &allowed) const;
+    [[nodiscard]] bool allRateLimited(const service_id &service, const residency &allowed) const;
     /// Returns the time until the first usable server of a service accepts requests of this node
     /// again; empty if one accepts requests now, or if there are no usable servers.
     [[nodiscard]] std::optional<milliseconds> backoffOf(const service_id &service,
@@ -193,22 +198,22 @@
     /// Returns the servers of a service that must not be chosen for this node now: those in a
     /// backoff that they requested from this node, and those that refuse requests, as long as other
     /// servers are left.
-    [[nodiscard]] std::vector<backend_server_id> passedOver(const service_id &service,
-                                                            const residency &allowed) const;
+    [[nodiscard]] std::vector<backend_server_id> excludedServers(const service_id &service,
+                                                                 const residency &allowed) const;
     /// Returns why no server of a service is available in the allowed regions.
-    [[nodiscard]] server_absence absenceOf(const service_id &service,
-                                           const residency &allowed) const;
+    [[nodiscard]] unavailability unavailabilityOf(const service_id &service,
+                                                  const residency &allowed) const;
     /// Returns why no server of a pool may get new work.
-    [[nodiscard]] server_absence absenceOf(const pool_key &pool) const;
+    [[nodiscard]] unavailability unavailabilityOf(const pool_key &pool) const;
     /// Returns a version number that increases whenever a server appears, changes or is removed;
     /// starts at 1.
     [[nodiscard]] std::uint64_t changes() const { return m_changes; }
 
     /// Chooses the server for a request; never a rate-limited one. Returns null if there is none.
-    [[nodiscard]] server_ptr choose(const server_wish &wish) const;
+    [[nodiscard]] server_ptr choose(const server_query &query) const;
 
     /// Called when a response to this node begins.
-    void onAnswerBegun(const server &backend) const;
+    void onResponseBegin(const server &backend) const;
     void onAnswer(server &backend);
     /// Called when a request got no response, a broken one, or an error.
     void onFailure(server &backend);
@@ -228,24 +233,24 @@
     [[nodiscard]] std::vector<server_start> leavingStarts() const;
     /// Applies the rate limit of a response to this node; it is valid until the next response
     /// changes it.
-    void onRateLimit(server &backend, const told_rate_limit &reported);
+    void onRateLimit(server &backend, const reported_rate_limit &reported);
     /// Applies the rate limit of a response that another node got at `receivedAt`.
-    void onRateLimit(server &backend, const told_rate_limit &reported, steady_time receivedAt);
+    void onRateLimit(server &backend, const reported_rate_limit &reported, steady_time receivedAt);
 
     /// Marks all servers of a data centre as unreachable or reachable.
-    void setCutOff(const data_center_id &dataCenter, bool cutOff);
+    void setUnreachable(const data_center_id &dataCenter, bool unreachable);
     /// Marks all servers of a data centre as evacuated, so that they get no new work, or ends the
     /// evacuation. After the evacuation the servers are treated as cold until they have had time to
     /// publish that they are.
     void setEvacuated(const data_center_id &dataCenter, bool evacuated);
     /// Returns the published servers of a data centre in turn, whatever their state; null if there
     /// is none.
-    [[nodiscard]] server_ptr anyIn(const data_center_id &dataCenter);
+    [[nodiscard]] server_ptr nextServerIn(const data_center_id &dataCenter);
 
     /// Called when a response of a server of the data centre begins or is complete.
-    void onHeard(std::function<void(const data_center_id &)> handler)
+    void onContact(std::function<void(const data_center_id &)> handler)
     {
-        m_onHeard = std::move(handler);
+        m_onContact = std::move(handler);
     }
     /// Called when bytes of a request are sent to a server of the data centre.
     void onSent(std::function<void(const data_center_id &)> handler)
@@ -253,9 +258,9 @@
         m_onSent = std::move(handler);
     }
     /// Called when a server starts being avoided, and when it responds again.
-    void onDoubt(std::function<void(const server &, bool avoided)> handler)
+    void onAvoidanceChanged(std::function<void(const server &, bool avoided)> handler)
     {
-        m_onDoubt = std::move(handler);
+        m_onAvoidanceChanged = std::move(handler);
     }
     /// Called when a server announces a different rate limit, or that it no longer has one.
     void
@@ -264,12 +269,12 @@
         m_onRateLimitChanged = std::move(handler);
     }
     /// Called when a response of a server first announces that it is leaving.
-    void onLeavingSaid(std::function<void(const server &)> handler)
+    void onLeavingAnnounced(std::function<void(const server &)> handler)
     {
-        m_onLeavingSaid = std::move(handler);
+        m_onLeavingAnnounced = std::move(handler);
     }
     /// Called when a server requests a backoff from this node that ends later than the present one.
-    void onBackoff(std::function<void(const server &, milliseconds time)> handler)
+    void onBackoffRequested(std::function<void(const server &, milliseconds time)> handler)
     {
         m_onBackoff = std::move(handler);
     }
@@ -280,7 +285,7 @@
     }
 
 private:
-    [[nodiscard]] double costOf(const server &backend, const server_wish &wish) const;
+    [[nodiscard]] double costOf(const server &backend, const server_query &query) const;
     /// Returns whether this node recently got a response of the server.
     [[nodiscard]] bool answeredRecently(const server &backend) const;
     /// Chooses among servers of equal cost; null if the list is empty.
@@ -289,9 +294,9 @@
     /// Returns why none of the servers of a service that match `isRelevant` may get new work.
     /// Returns `defaultReason` if none of them is evacuated or leaving.
     template <class Predicate>
-    [[nodiscard]] server_absence absenceAmong(const service_id &service,
-                                              server_absence defaultReason,
-                                              Predicate isRelevant) const;
+    [[nodiscard]] unavailability unavailabilityAmong(const service_id &service,
+                                                     unavailability defaultReason,
+                                                     Predicate isRelevant) const;
     /// Called when the server refused a request without running it.
     void onRefused(server &backend);
     void onRetryAfter(server &backend, milliseconds time);
@@ -322,20 +327,20 @@
         steady_time expiresAt; ///< discarded at this time
     };
     std::map<server_start, unpublished_signals> m_unpublished; ///< not published at present
-    std::set<server_start> m_saidLeaving; ///< published starts and those in `m_unpublished`
+    std::set<server_start> m_announcedLeaving; ///< published starts and those in `m_unpublished`
     std::map<data_center_id, region_id> m_regions;
     bool m_severalRegions = false;
-    std::unordered_map<service_id, cold_start> m_coldStarts;
-    std::set<data_center_id> m_cutOff;
+    std::unordered_map<service_id, cold_start_settings> m_coldStarts;
+    std::set<data_center_id> m_unreachable;
     std::set<data_center_id> m_evacuated;
-    backend_server_id m_lastReturned; ///< last result of `anyIn`
+    backend_server_id m_lastReturned; ///< last result of `nextServerIn`
     backoff_spread m_backoffSpread;
-    std::function<void(const data_center_id &)> m_onHeard;
+    std::function<void(const data_center_id &)> m_onContact;
     std::function<void(const data_center_id &)> m_onSent;
     std::function<void(const service_id &)> m_onChange;
-    std::function<void(const server &, bool avoided)> m_onDoubt;
+    std::function<void(const server &, bool avoided)> m_onAvoidanceChanged;
     std::function<void(const server &, std::optional<double> before)> m_onRateLimitChanged;
-    std::function<void(const server &)> m_onLeavingSaid;
+    std::function<void(const server &)> m_onLeavingAnnounced;
     std::function<void(const server &, milliseconds time)> m_onBackoff;
 };
 
--- a/src/gateway/servers/server_directory_signals.cpp
+++ b/src/gateway/servers/server_directory_signals.cpp
@@ -30,7 +30,7 @@
     const auto now = m_clock.now();
     std::erase_if(m_unpublished, [&](const auto &entry) { return now >= entry.second.expiresAt; });
     m_unpublished[start] = {signals, now + UnpublishedSignalLifetime};
-    std::erase_if(m_saidLeaving, [&](const server_start &each) { return !isTracked(each); });
+    std::erase_if(m_announcedLeaving, [&](const server_start &each) { return !isTracked(each); });
 }
 
 bool server_directory::isTracked(const server_start &start) const
@@ -45,20 +45,20 @@
 {
     const auto known = find(start.id);
     if (known && known->record.start() == start) {
-        if (std::exchange(known->saidLeaving, true))
+        if (std::exchange(known->announcedLeaving, true))
             return false;
-        m_saidLeaving.insert(start);
+        m_announcedLeaving.insert(start);
         notifyChange(known->record.service);
         return true;
     }
-    if (known && start.born < known->record.born)
+    if (known && start.startedAt < known->record.startedAt)
         return false;
     retained_signals signals;
     if (const auto unpublished = m_unpublished.find(start); unpublished != m_unpublished.end())
         signals = unpublished->second.signals;
-    if (std::exchange(signals.saidLeaving, true))
+    if (std::exchange(signals.announcedLeaving, true))
         return false;
-    m_saidLeaving.insert(start);
+    m_announcedLeaving.insert(start);
     retainSignals(start, signals);
     return true;
 }
@@ -66,7 +66,7 @@
 std::vector<server_start> server_directory::leavingStarts() const
 {
     std::vector<server_start> starts;
-    std::ranges::copy_if(m_saidLeaving, std::back_inserter(starts),
+    std::ranges::copy_if(m_announcedLeaving, std::back_inserter(starts),
                          [&](const server_start &each) { return isTracked(each); });
     return starts;
 }
@@ -88,7 +88,7 @@
     const auto now = m_clock.now();
     if (servers.empty())
         return std::nullopt;
-    const auto first = std::ranges::min(servers, {}, &server::takesFrom)->takesFrom();
+    const auto first = std::ranges::min(servers, {}, &server::acceptsFrom)->acceptsFrom();
     if (first <= now)
         return std::nullopt;
     return std::chrono::ceil<milliseconds>(first - now);
@@ -96,15 +96,15 @@
 
 // Servers that refuse are skipped like servers in a backoff, as long as other servers are left: the
 // node that chooses on behalf of this one does not see the refusals.
-std::vector<backend_server_id> server_directory::passedOver(const service_id &service,
-                                                            const residency &allowed) const
+std::vector<backend_server_id> server_directory::excludedServers(const service_id &service,
+                                                                 const residency &allowed) const
 {
     const auto now = m_clock.now();
     std::vector<backend_server_id> excluded;
     std::vector<backend_server_id> refusing;
     const auto servers = usable(service, allowed);
     for (const auto &each : servers) {
-        if (!each->takes(now))
+        if (!each->accepts(now))
             excluded.push_back(each->record.id);
         else if (each->refusals > 0 && now < each->avoidUntil)
             refusing.push_back(each->record.id);
@@ -150,16 +150,16 @@
 void server_directory::onSignals(server &backend, const server_signals &reported)
 {
     onRateLimit(backend, reported.rateLimit);
-    if (reported.leaving && !std::exchange(backend.saidLeaving, true)) {
-        m_saidLeaving.insert(backend.record.start());
+    if (reported.leaving && !std::exchange(backend.announcedLeaving, true)) {
+        m_announcedLeaving.insert(backend.record.start());
         notifyChange(backend.record.service);
-        if (m_onLeavingSaid)
-            m_onLeavingSaid(backend);
+        if (m_onLeavingAnnounced)
+            m_onLeavingAnnounced(backend);
     }
     const auto now = m_clock.now();
     if (reported.load) {
         backend.load = reported.load;
-        backend.loadAt = now;
+        backend.loadReportedAt = now;
     }
     if (reported.retryAfter)
         onRetryAfter(backend, *reported.retryAfter);
@@ -172,12 +172,12 @@
     }
 }
 
-void server_directory::onRateLimit(server &backend, const told_rate_limit &reported)
+void server_directory::onRateLimit(server &backend, const reported_rate_limit &reported)
 {
     onRateLimit(backend, reported, m_clock.now());
 }
 
-void server_directory::onRateLimit(server &backend, const told_rate_limit &reported,
+void server_directory::onRateLimit(server &backend, const reported_rate_limit &reported,
                                    steady_time receivedAt)
 {
     if (!reported.readable || receivedAt < backend.rateLimitReportedAt)
--- a/src/gateway/servers/server_signals.h
+++ b/src/gateway/servers/server_signals.h
@@ -16,7 +16,7 @@
 };
 
 /// The rate limit reported in a response.
-struct told_rate_limit
+struct reported_rate_limit
 {
     std::optional<double>
         perSecond; ///< requests per second from all nodes together; empty: not limited
@@ -26,7 +26,7 @@
 /// What a response reports about its server, apart from the result of the request.
 struct server_signals
 {
-    told_rate_limit rateLimit{};
+    reported_rate_limit rateLimit{};
     bool leaving = false; ///< the server shuts down soon and takes no new requests
     bool refused = false; ///< the server did not run the request, for a reason of its own
     bool taken = false; ///< the server accepted the request and has not failed it
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -108,7 +108,7 @@
     if (const auto found = mapping.find("without")) {
         found->forEach(0, enumNames<policy>.size(), [&](const value_reader &each) {
             if (const auto disabled = each.enumerator<policy>())
-                settings.without.insert(*disabled);
+                settings.disabledPolicies.insert(*disabled);
         });
     }
     mapping.read("stage_calls", presence::Optional, settings.stageCalls,
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -62,7 +62,7 @@
     /// served so far, 100 lines show one request in a few.
     std::uint32_t requestLines = 100;
     stage_sharing stageCalls = stage_sharing::Shared;
-    policies_left_out without;
+    disabled_policies disabledPolicies;
 };
 
 /// Parses and validates a settings file; returns all errors found, up to a limit.
--- a/src/gateway/stages/stage_host.h
+++ b/src/gateway/stages/stage_host.h
@@ -2,8 +2,8 @@
 
 #include "gateway/codec.h"
 #include "gateway/gateway_metrics.h"
-#include "gateway/quarantine/server_end_observer.h"
-#include "gateway/servers/rate_pace.h"
+#include "gateway/quarantine/server_crash_detector.h"
+#include "gateway/servers/rate_pacer.h"
 #include "gateway/stages/stage_pool.h"
 #include "http/connection_pool.h"
 #include "wire/log.h"
@@ -27,20 +27,21 @@
     using piece_handler = std::function<void(piece_report)>;
 
     stage_host(http::io_loop &loop, http::connection_pool &pool, server_directory &directory,
-               retry_allowance &allowance, wire::log &log, gateway_metrics &metrics);
+               retry_budget &retryBudget, wire::log &log, gateway_metrics &metrics);
 
     void setConfiguration(const configuration_ptr &configuration);
     /// Sets whether pieces wait for a server in the data centre of their inputs. Affects only pools
     /// that are created later.
-    void setWaitsForNear(bool waits) { m_waitsForLocalServer = waits; }
+    void setWaitsForLocalServer(bool waits) { m_waitsForLocalServer = waits; }
 
-    /// Sets the callbacks of the request quarantine. `onBroken` is called when a connection broke
-    /// while a server had a piece of the request; `mayRetry` returns whether such a piece may be
-    /// tried on another server.
-    void setQuarantine(std::function<void(const server &, const interrupted_request &)> onBroken,
-                       std::function<bool(const request_digest &)> mayRetry)
+    /// Sets the callbacks of the request quarantine. `onConnectionBroken` is called when a
+    /// connection broke while a server had a piece of the request; `mayRetry` returns whether such
+    /// a piece may be tried on another server.
+    void setQuarantineCallbacks(
+        std::function<void(const server &, const in_flight_request &)> onConnectionBroken,
+        std::function<bool(const request_digest &)> mayRetry)
     {
-        m_onBroken = std::move(onBroken);
+        m_onBroken = std::move(onConnectionBroken);
         m_mayRetry = std::move(mayRetry);
     }
 
@@ -52,10 +53,10 @@
 
     /// Submits a piece. `handler` is called once, never within this call, unless the piece is
     /// withdrawn.
-    piece_token submit(const pool_key &key, piece_job job, piece_handler handler);
+    piece_token submit(const pool_key &key, piece_task job, piece_handler handler);
     void withdraw(piece_token token);
     /// Frees results at the servers that hold them, batched by server after a short delay.
-    void free(const std::vector<std::string> &handles);
+    void freeResults(const std::vector<std::string> &handles);
     /// Returns the number of waiting pieces by service.
     [[nodiscard]] std::map<service_id, std::size_t> waiting() const;
     /// Logs the activity of each pool since the last call.
@@ -81,7 +82,7 @@
         pool_key key;
         stage_call stageCall;
         int status = 0;
-        answer_marks marks;
+        response_metadata metadata;
         std::string body;
         http::pool_call call = 0;
         http::timer_id timer = 0;
@@ -126,15 +127,15 @@
     http::io_loop &m_loop;
     http::connection_pool &m_pool;
     server_directory &m_directory;
-    retry_allowance &m_allowance;
+    retry_budget &m_retryBudget;
     wire::log &m_log;
     gateway_metrics &m_metrics;
     configuration_ptr m_configuration;
     bool m_waitsForLocalServer = true;
-    std::function<void(const server &, const interrupted_request &)> m_onBroken;
+    std::function<void(const server &, const in_flight_request &)> m_onBroken;
     std::function<bool(const request_digest &)> m_mayRetry;
     std::function<double(const pool_key &)> m_rateShare;
-    rate_pace m_pace;
+    rate_pacer m_pacer;
     std::map<pool_key, std::unique_ptr<stage_pool>> m_pools;
     std::set<std::shared_ptr<active_call>> m_activeCalls;
     std::map<pool_key, http::timer_id> m_wakeupTimers;
--- a/src/gateway/stages/stage_host_frees_impl.h
+++ b/src/gateway/stages/stage_host_frees_impl.h
@@ -17,16 +17,16 @@
 inline constexpr milliseconds FreeTimeout{1000};
 
 /// Returns the address of the server that holds a result: the part of the handle before the slash.
-[[nodiscard]] inline std::string holderOf(const std::string &handle)
+[[nodiscard]] inline std::string resultServerAddress(const std::string &handle)
 {
     return handle.substr(0, handle.find('/'));
 }
 
 template <gateway_codec Codec>
-void stage_host<Codec>::free(const std::vector<std::string> &handles)
+void stage_host<Codec>::freeResults(const std::vector<std::string> &handles)
 {
     for (const auto &each : handles)
-        m_pendingFrees[holderOf(each)].push_back(each);
+        m_pendingFrees[resultServerAddress(each)].push_back(each);
     if (!m_pendingFrees.empty())
         scheduleFrees(m_loop.now() + FreeBatchDelay);
 }
@@ -48,12 +48,12 @@
     const auto now = m_loop.now();
     if (!holder.usable())
         return std::nullopt;
-    auto at = std::max(now, holder.takesFrom());
-    if (holder.bound(now)) {
+    auto at = std::max(now, holder.acceptsFrom());
+    if (holder.effectiveRateLimit(now)) {
         const double share = rateShareOf(holder);
         if (share <= 0)
             return std::nullopt;
-        at = std::max(at, m_pace.nextAt(holder, share));
+        at = std::max(at, m_pacer.nextAllowedAt(holder, share));
     }
     return at > now ? at + FreeBatchDelay : at; // waiting calls take precedence
 }
@@ -79,7 +79,7 @@
             next = std::min(next.value_or(*at), *at);
             continue;
         }
-        m_pace.onSent(*holder, rateShareOf(*holder));
+        m_pacer.onSent(*holder, rateShareOf(*holder));
         sendFrees(holder, std::move(handles));
     }
     if (next)
@@ -93,7 +93,7 @@
     outbound.body = Codec::writeHandles(handles);
     outbound.writeHead = [this, holder,
                           length = outbound.body.size()]() -> std::optional<std::string> {
-        if (!holder->takes(m_loop.now()))
+        if (!holder->accepts(m_loop.now()))
             return std::nullopt;
         http::request_head head;
         head.method = "POST";
@@ -111,8 +111,8 @@
     outbound.onEnd = [this, holder, freed = std::move(handles)](http::call_end httpEnd) {
         if (httpEnd == http::call_end::Complete)
             onFreed(freed);
-        else if (httpEnd == http::call_end::NotSent && !holder->takes(m_loop.now()))
-            free(freed); // retried when the server accepts requests again
+        else if (httpEnd == http::call_end::NotSent && !holder->accepts(m_loop.now()))
+            freeResults(freed); // retried when the server accepts requests again
     };
     const auto call = m_pool.start(holder->record.address, std::move(outbound));
     m_loop.callAfter(FreeTimeout, [this, call] { m_pool.abandon(call); });
--- a/src/gateway/stages/stage_host_impl.h
+++ b/src/gateway/stages/stage_host_impl.h
@@ -16,15 +16,15 @@
 
 template <gateway_codec Codec>
 stage_host<Codec>::stage_host(http::io_loop &loop, http::connection_pool &pool,
-                              server_directory &directory, retry_allowance &allowance,
+                              server_directory &directory, retry_budget &retryBudget,
                               wire::log &log, gateway_metrics &metrics)
     : m_loop(loop)
     , m_pool(pool)
     , m_directory(directory)
-    , m_allowance(allowance)
+    , m_retryBudget(retryBudget)
     , m_log(log)
     , m_metrics(metrics)
-    , m_pace(loop.clock())
+    , m_pacer(loop.clock())
 { }
 
 template <gateway_codec Codec>
@@ -43,8 +43,8 @@
 {
     auto &entry = m_pools[key];
     if (!entry) {
-        entry = std::make_unique<stage_pool>(m_loop.clock(), key.service, m_allowance);
-        entry->setWaitsForNear(m_waitsForLocalServer);
+        entry = std::make_unique<stage_pool>(m_loop.clock(), key.service, m_retryBudget);
+        entry->setWaitsForLocalServer(m_waitsForLocalServer);
         entry->setMayRetry(m_mayRetry);
         const auto *spec = m_configuration ? m_configuration->findService(key.service) : nullptr;
         if (spec && spec->stage)
@@ -54,11 +54,11 @@
 }
 
 template <gateway_codec Codec>
-piece_token stage_host<Codec>::submit(const pool_key &key, piece_job job, piece_handler handler)
+piece_token stage_host<Codec>::submit(const pool_key &key, piece_task job, piece_handler handler)
 {
     job.token = ++m_lastToken;
     const auto token = job.token;
-    m_allowance.onRequest(key.service);
+    m_retryBudget.onRequest(key.service);
     m_pending.emplace(token,
                       pending_piece{key, job.rank, std::move(handler), job.request.attempt,
                                     job.request.stage, m_loop.now()});
@@ -119,11 +119,12 @@
     std::optional<steady_time> next;
     const double share = rateShareOf(key);
     std::erase_if(servers, [&](const server_ptr &each) {
-        auto at = each->takesFrom();
-        if (at <= m_loop.now() && m_pace.allows(*each, share))
+        auto at = each->acceptsFrom();
+        if (at <= m_loop.now() && m_pacer.allows(*each, share))
             return false;
         if (at <= m_loop.now())
-            at = share > 0 ? m_pace.nextAt(*each, share) : m_loop.now() + NoShareRetryInterval;
+            at = share > 0 ? m_pacer.nextAllowedAt(*each, share)
+                           : m_loop.now() + NoShareRetryInterval;
         next = std::min(next.value_or(at), at);
         return true;
     });
@@ -135,17 +136,17 @@
 stage_host<Codec>::closedReason(const pool_key &key, const std::vector<server_ptr> &servers) const
 {
     if (m_directory.backoffOf(servers))
-        return piece_failure::ServersBackedOff;
+        return piece_failure::ServersBackingOff;
     if (!servers.empty())
         return std::nullopt;
-    switch (m_directory.absenceOf(key)) {
-    case server_absence::Evacuated:
+    switch (m_directory.unavailabilityOf(key)) {
+    case unavailability::Evacuated:
         return piece_failure::Evacuated;
-    case server_absence::Leaving:
+    case unavailability::Leaving:
         return piece_failure::ServersLeaving;
-    case server_absence::None:
-    case server_absence::Gone:
-    case server_absence::OutOfRegion:
+    case unavailability::None:
+    case unavailability::NoneReachable:
+    case unavailability::NoServerInRegion:
         break;
     }
     return std::nullopt;
@@ -157,9 +158,9 @@
     const std::chrono::duration<double> call = poolOf(key).fullCallTime();
     double serverCount = 0.0;
     for (const auto &each : m_directory.usable(key)) {
-        if (!each->takes(m_loop.now()))
+        if (!each->accepts(m_loop.now()))
             continue;
-        const auto bound = each->bound(m_loop.now());
+        const auto bound = each->effectiveRateLimit(m_loop.now());
         serverCount +=
             bound ? std::min(1.0, bound->perSecond * rateShareOf(key) * call.count()) : 1.0;
     }
@@ -176,7 +177,7 @@
     deliver(pool.expire(effectiveServerCount(key)));
     auto wake = removePacedServers(key, servers);
     while (const auto call = pool.nextCall(servers)) {
-        m_pace.onSent(*call->server, rateShareOf(key));
+        m_pacer.onSent(*call->server, rateShareOf(key));
         startCall(key, *call);
     }
     if (pool.waiting() > 0)
@@ -205,7 +206,7 @@
     outbound.writeHead = [this, call, active,
                           length = outbound.body.size()]() -> std::optional<std::string> {
         // The server may have started to leave or asked for a backoff while the connection opened.
-        active->withheld = !call.server->takes(m_loop.now());
+        active->withheld = !call.server->accepts(m_loop.now());
         if (active->withheld)
             return std::nullopt;
         m_directory.onSending(*call.server);
@@ -219,9 +220,9 @@
     };
     outbound.onHead = [this, active](const http::response_head &head) {
         active->status = head.status;
-        active->marks = Codec::readAnswer(head);
-        m_directory.onAnswerBegun(*active->stageCall.server);
-        m_directory.onSignals(*active->stageCall.server, active->marks.server);
+        active->metadata = Codec::readAnswer(head);
+        m_directory.onResponseBegin(*active->stageCall.server);
+        m_directory.onSignals(*active->stageCall.server, active->metadata.server);
     };
     outbound.onBody = [active](std::string_view bytes) { active->body.append(bytes); };
     outbound.onEnd = [this, active](http::call_end httpEnd) { onCallEnd(active, httpEnd); };
@@ -273,7 +274,7 @@
             results = std::move(read).value();
         }
     } else if (httpEnd == http::call_end::Complete
-               && (active.marks.notRun || active.status == Misdirected)) {
+               && (active.metadata.notExecuted || active.status == Misdirected)) {
         end = stage_call_end::NotRun;
         if (active.status == Misdirected)
             call.server->gone = true;
@@ -405,7 +406,7 @@
         const auto found = m_pending.find(each.token);
         if (found == m_pending.end()) {
             if (const auto *handle = std::get_if<std::string>(&each.result))
-                free({*handle});
+                freeResults({*handle});
             continue;
         }
         const auto piece = std::move(found->second);
@@ -419,7 +420,7 @@
                                                   const piece_result &result)
 {
     const auto *failure = std::get_if<piece_failure>(&result);
-    if (failure && *failure == piece_failure::ServersBackedOff)
+    if (failure && *failure == piece_failure::ServersBackingOff)
         return m_directory.backoffOf(key).value_or(milliseconds{0});
     return poolOf(key).expectedWait(rank, effectiveServerCount(key));
 }
--- a/src/gateway/stages/stage_pool.cpp
+++ b/src/gateway/stages/stage_pool.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Maximum number of calls for one piece. With more, its request would miss its `aim` anyway.
+// Maximum number of calls for one piece. With more, its request would miss its `softDeadline`
+// anyway.
 constexpr std::uint32_t MaxTries = 5;
 // Number of calls to unreachable servers after which a piece may change to another pool: the data
 // centre of this pool may be cut off.
@@ -37,17 +38,17 @@
 constexpr milliseconds MaxGroupWait{300};
 // How long a piece waits at most for a server in the data centre of its inputs while another server
 // is idle: two to three calls, so that a data centre with one server ends a call in that time. A
-// piece waits only while its `aim` leaves time for a full call, so that waiting makes none late.
-// Only pieces with at least `MinLocalWaitBytes` of inputs wait, as each fetches all results of the
-// stages that it depends on. In a deployment of six nodes, waiting halves the results that are
-// transferred between data centres.
+// piece waits only while its `softDeadline` leaves time for a full call, so that waiting makes none
+// late. Only pieces with at least `MinLocalWaitBytes` of inputs wait, as each fetches all results
+// of the stages that it depends on. In a deployment of six nodes, waiting halves the results that
+// are transferred between data centres.
 constexpr milliseconds MaxLocalWait{700};
 constexpr std::uint64_t MinLocalWaitBytes = 100'000;
-// Spare time, in full calls, that a new piece must have before its `aim`, and weight of the more
-// urgent pieces that arrive while it waits. In an emulated burst of 1.8 times a pool's capacity,
-// half of the refusals are reported within one call with these values, and within two to three
-// calls without them. With twice the values, the least urgent requests lose a fifteenth of their
-// answers in time in a deployment of six nodes.
+// Spare time, in full calls, that a new piece must have before its `softDeadline`, and weight of
+// the more urgent pieces that arrive while it waits. In an emulated burst of 1.8 times a pool's
+// capacity, half of the refusals are reported within one call with these values, and within two to
+// three calls without them. With twice the values, the least urgent requests lose a fifteenth of
+// their answers in time in a deployment of six nodes.
 constexpr double AdmissionSlackCalls = 0.5;
 constexpr double UrgentArrivalWeight = 0.5;
 // Minimum fraction of a pool's capacity that estimates assume for a rank, whatever the arrival rate
@@ -58,13 +59,13 @@
 
 } // namespace
 
-stage_pool::stage_pool(const clock_source &clock, service_id service, retry_allowance &allowance)
+stage_pool::stage_pool(const clock_source &clock, service_id service, retry_budget &retryBudget)
     : m_clock(clock)
     , m_service(std::move(service))
-    , m_allowance(allowance)
+    , m_retryBudget(retryBudget)
 { }
 
-void stage_pool::submit(piece_job job)
+void stage_pool::submit(piece_task job)
 {
     job.submittedAt = m_clock.now();
     m_arrivals[job.rank].onEvent(job.submittedAt);
@@ -73,7 +74,7 @@
 
 void stage_pool::withdraw(piece_token token)
 {
-    std::erase_if(m_waiting, [&](const piece_job &job) { return job.token == token; });
+    std::erase_if(m_waiting, [&](const piece_task &job) { return job.token == token; });
     for (auto &[id, call] : m_calls) {
         for (auto &job : call.jobs) {
             if (job.token == token)
@@ -82,19 +83,20 @@
     }
 }
 
-// Returns whether a call that starts now would end after the piece's `aim`, by the fixed time of a
-// call alone.
-bool stage_pool::isLate(const piece_job &job, steady_time now) const
+// Returns whether a call that starts now would end after the piece's `softDeadline`, by the fixed
+// time of a call alone.
+bool stage_pool::isLate(const piece_task &job, steady_time now) const
 {
-    return job.aim < now + m_capacity.callTime;
+    return job.softDeadline < now + m_capacity.callTime;
 }
 
-bool stage_pool::precedes(const piece_job &a, const piece_job &b, const data_center_id &at,
+bool stage_pool::precedes(const piece_task &a, const piece_task &b, const data_center_id &at,
                           steady_time now) const
 {
-    const auto due = [&](const piece_job &job) {
-        const bool remote = !at.empty() && !job.near.empty() && job.near != at;
-        return job.aim + (remote ? RemoteInputPenalty : milliseconds{0});
+    const auto due = [&](const piece_task &job) {
+        const bool remote =
+            !at.empty() && !job.preferredDataCenter.empty() && job.preferredDataCenter != at;
+        return job.softDeadline + (remote ? RemoteInputPenalty : milliseconds{0});
     };
     const bool lateA = isLate(a, now);
     const bool lateB = isLate(b, now);
@@ -111,7 +113,7 @@
 }
 
 std::vector<server_ptr> stage_pool::idleServers(const std::vector<server_ptr> &servers,
-                                                const data_center_id &near)
+                                                const data_center_id &preferredDataCenter)
 {
     const auto now = m_clock.now();
     std::vector<std::pair<double, server_ptr>> ranked;
@@ -119,10 +121,10 @@
         const auto &state = m_servers[each->record.start()];
         if (state.calls > 0 || state.pausedUntil > now)
             continue;
-        double cost = each->slowness;
+        double cost = each->latencyRatio;
         if (each->avoidUntil > now)
             cost += AvoidedCost;
-        if (!near.empty() && each->record.dataCenter != near)
+        if (!preferredDataCenter.empty() && each->record.dataCenter != preferredDataCenter)
             cost += RemoteCost;
         ranked.emplace_back(cost, each);
     }
@@ -148,20 +150,21 @@
 // for results is scarce. So the pieces of one stage of a request go in one call if they fit, and a
 // group that has waited for `MaxGroupWait` may be split. Smaller groups may overtake a group that
 // doesn't fit.
-std::vector<piece_job> stage_pool::takeBatch(const server &chosen, bool mayWait)
+std::vector<piece_task> stage_pool::takeBatch(const server &chosen, bool mayWait)
 {
     // The whole sort uses one timestamp: an order that changes during the sort could make it access
     // elements out of bounds.
     const auto now = m_clock.now();
-    std::ranges::stable_sort(m_waiting, [&](const piece_job &a, const piece_job &b) {
+    std::ranges::stable_sort(m_waiting, [&](const piece_task &a, const piece_task &b) {
         return precedes(a, b, chosen.record.dataCenter, now);
     });
     const auto heldBytes = m_servers[chosen.record.start()].heldBytes;
-    const bool bounded = m_capacity.roomBytes > 0;
-    std::uint64_t room = m_capacity.roomBytes > heldBytes ? m_capacity.roomBytes - heldBytes : 0;
+    const bool bounded = m_capacity.resultMemoryBytes > 0;
+    std::uint64_t room =
+        m_capacity.resultMemoryBytes > heldBytes ? m_capacity.resultMemoryBytes - heldBytes : 0;
     std::size_t freePlaces = std::max(1U, m_capacity.batch);
-    std::vector<piece_job> taken;
-    std::vector<piece_job> left;
+    std::vector<piece_task> taken;
+    std::vector<piece_task> left;
     for (std::size_t begin = 0; begin < m_waiting.size();) {
         const auto end = groupEnd(begin);
         const auto bytes = m_waiting[begin].resultBytes;
@@ -183,16 +186,18 @@
     return taken;
 }
 
-steady_time stage_pool::localWaitEnd(const piece_job &job) const
+steady_time stage_pool::localWaitEnd(const piece_task &job) const
 {
-    return std::min(job.submittedAt + MaxLocalWait, job.aim - expectedTime(m_capacity.batch));
+    return std::min(job.submittedAt + MaxLocalWait,
+                    job.softDeadline - expectedTime(m_capacity.batch));
 }
 
-bool stage_pool::waitsForLocalServer(const piece_job &job, const server &chosen,
+bool stage_pool::waitsForLocalServer(const piece_task &job, const server &chosen,
                                      steady_time now) const
 {
-    return job.inputBytes >= MinLocalWaitBytes && job.near != chosen.record.dataCenter
-        && m_dataCenters.contains(job.near) && now < localWaitEnd(job);
+    return job.inputBytes >= MinLocalWaitBytes
+        && job.preferredDataCenter != chosen.record.dataCenter
+        && m_dataCenters.contains(job.preferredDataCenter) && now < localWaitEnd(job);
 }
 
 std::optional<stage_call> stage_pool::nextCall(const std::vector<server_ptr> &servers)
@@ -201,8 +206,10 @@
         return std::nullopt;
     dropExpiredResults();
     const auto now = m_clock.now();
-    const auto first = std::ranges::min_element(
-        m_waiting, [&](const piece_job &a, const piece_job &b) { return precedes(a, b, {}, now); });
+    const auto first =
+        std::ranges::min_element(m_waiting, [&](const piece_task &a, const piece_task &b) {
+            return precedes(a, b, {}, now);
+        });
     m_dataCenters.clear();
     for (const auto &each : servers)
         m_dataCenters.insert(each->record.dataCenter);
@@ -210,7 +217,7 @@
     // no server is idle in a burst.
     const bool mayWait =
         m_waitsForLocalServer && m_waiting.size() <= servers.size() * m_capacity.batch;
-    for (const auto &each : idleServers(servers, first->near)) {
+    for (const auto &each : idleServers(servers, first->preferredDataCenter)) {
         auto jobs = takeBatch(*each, mayWait);
         if (!jobs.empty())
             return makeCall(each, std::move(jobs));
@@ -218,7 +225,7 @@
     return std::nullopt;
 }
 
-stage_call stage_pool::makeCall(const server_ptr &chosen, std::vector<piece_job> jobs)
+stage_call stage_pool::makeCall(const server_ptr &chosen, std::vector<piece_task> jobs)
 {
     active_call call;
     call.server = chosen;
@@ -242,10 +249,10 @@
         stageCall.longestWait = std::max(stageCall.longestWait, waited);
         state.heldBytes += job.resultBytes;
         stageCall.pieces.push_back(job.request);
-        stageCall.pieces.back().patience =
+        stageCall.pieces.back().clientTimeout =
             std::chrono::duration_cast<milliseconds>(job.deadline - call.startedAt);
     }
-    const double slow = std::max(1.0, chosen->slowness);
+    const double slow = std::max(1.0, chosen->latencyRatio);
     stageCall.timeout =
         std::chrono::duration_cast<milliseconds>(call.expected * (TimeoutFactor * slow))
         + TimeoutSlack;
@@ -296,10 +303,11 @@
     const auto took = std::chrono::duration<double>(m_clock.now() - call.startedAt);
     const auto expected = std::chrono::duration<double>(call.expected);
     const double ratio = expected.count() > 0 ? took / expected : 1.0;
-    call.server->slowness += SlownessWeight * (ratio - call.server->slowness);
+    call.server->latencyRatio += SlownessWeight * (ratio - call.server->latencyRatio);
 }
 
-void stage_pool::retryOrFail(piece_job job, stage_call_end callEnd, std::vector<piece_outcome> &out)
+void stage_pool::retryOrFail(piece_task job, stage_call_end callEnd,
+                             std::vector<piece_outcome> &out)
 {
     if (job.token == 0)
         return;
@@ -308,8 +316,8 @@
         callEnd == stage_call_end::Broken && m_mayRetry && !m_mayRetry(job.request.digest);
     const auto tries = job.mayChangePool ? TriesBeforePoolChange : MaxTries;
     if (callEnd == stage_call_end::NotSent && job.tries >= tries)
-        out.push_back({job.token, piece_failure::Unreached});
-    else if (suspected || job.tries >= MaxTries || !(unsent || m_allowance.tryTake(m_service)))
+        out.push_back({job.token, piece_failure::ServersUnreachable});
+    else if (suspected || job.tries >= MaxTries || !(unsent || m_retryBudget.tryTake(m_service)))
         out.push_back({job.token, piece_failure::Error});
     else
         m_waiting.push_back(std::move(job));
@@ -390,7 +398,7 @@
 {
     const auto now = m_clock.now();
     const auto ahead = std::ranges::count_if(
-        m_waiting, [&](const piece_job &job) { return job.rank <= rank && !isLate(job, now); });
+        m_waiting, [&](const piece_task &job) { return job.rank <= rank && !isLate(job, now); });
     return std::chrono::duration_cast<milliseconds>(
         estimateWait(static_cast<std::size_t>(ahead), rank, servers));
 }
@@ -401,8 +409,9 @@
 std::vector<bool> stage_pool::findLatePieces(double servers)
 {
     const auto now = m_clock.now();
-    std::ranges::stable_sort(
-        m_waiting, [&](const piece_job &a, const piece_job &b) { return precedes(a, b, {}, now); });
+    std::ranges::stable_sort(m_waiting, [&](const piece_task &a, const piece_task &b) {
+        return precedes(a, b, {}, now);
+    });
     std::size_t ahead = 0;
     std::vector<bool> late;
     late.reserve(m_waiting.size());
@@ -425,7 +434,7 @@
     const auto late = findLatePieces(servers);
     const auto inTime = static_cast<double>(std::ranges::count(late, false));
     const bool crowded = inTime > servers * m_capacity.batch;
-    std::vector<piece_job> left;
+    std::vector<piece_task> left;
     left.reserve(m_waiting.size());
     for (std::size_t i = 0; i < m_waiting.size(); ++i) {
         auto &job = m_waiting[i];
@@ -458,10 +467,10 @@
     };
     if (!std::ranges::all_of(servers, pausesAfterFailure))
         return out;
-    std::erase_if(m_waiting, [&](const piece_job &job) {
+    std::erase_if(m_waiting, [&](const piece_task &job) {
         if (!job.mayChangePool)
             return false;
-        out.push_back({job.token, piece_failure::Unreached});
+        out.push_back({job.token, piece_failure::ServersUnreachable});
         return true;
     });
     return out;
@@ -470,8 +479,8 @@
 std::vector<piece_outcome> stage_pool::failWithInputsIn(const data_center_id &dataCenter)
 {
     std::vector<piece_outcome> out;
-    std::erase_if(m_waiting, [&](const piece_job &job) {
-        if (job.request.inputs.empty() || job.near != dataCenter)
+    std::erase_if(m_waiting, [&](const piece_task &job) {
+        if (job.request.inputs.empty() || job.preferredDataCenter != dataCenter)
             return false;
         out.push_back({job.token, piece_failure::InputGone});
         return true;
--- a/src/gateway/stages/stage_pool.h
+++ b/src/gateway/stages/stage_pool.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/codec.h"
-#include "gateway/exchange/retry_allowance.h"
+#include "gateway/exchange/retry_budget.h"
 #include "gateway/servers/server_directory.h"
 #include "gateway/stages/decaying_rate.h"
 #include "gateway/stages/stage_rank.h"
@@ -24,14 +24,14 @@
 using stage_call_id = std::uint64_t;
 
 /// A piece that waits for a server.
-struct piece_job
+struct piece_task
 {
     piece_token token = 0;
     piece_request request;
     stage_rank rank;
-    steady_time aim{}; ///< end by which its request can still meet its latency objective
+    steady_time softDeadline{}; ///< end by which its request can still meet its latency objective
     steady_time deadline{}; ///< the piece is dropped after this
-    data_center_id near; ///< data centre of its inputs
+    data_center_id preferredDataCenter; ///< data centre of its inputs
     std::uint64_t inputBytes = 0; ///< approximate total of all inputs
     std::size_t resultBytes = 0; ///< approximate
     steady_time submittedAt{};
@@ -91,26 +91,26 @@
 /// Batches the pieces of many requests into calls to the backend servers of one service.
 ///
 /// Each call has a fixed cost, so pieces wait for an idle server and share calls. Pieces whose
-/// `aim` can still be met precede late ones; within both groups pieces are ordered by rank, then by
-/// `aim`. A server gets one call at a time: further calls would only queue there, and couldn't
-/// include pieces that arrive in the meantime.
+/// `softDeadline` can still be met precede late ones; within both groups pieces are ordered by
+/// rank, then by `softDeadline`. A server gets one call at a time: further calls would only queue
+/// there, and couldn't include pieces that arrive in the meantime.
 ///
 /// Results occupy room at their server until they are freed or expire. The pool accounts for this
 /// room, so that no call is made whose results wouldn't fit.
 class stage_pool
 {
 public:
-    stage_pool(const clock_source &clock, service_id service, retry_allowance &allowance);
+    stage_pool(const clock_source &clock, service_id service, retry_budget &retryBudget);
 
     void setCapacity(const stage_capacity &capacity) { m_capacity = capacity; }
-    void setWaitsForNear(bool waits) { m_waitsForLocalServer = waits; }
+    void setWaitsForLocalServer(bool waits) { m_waitsForLocalServer = waits; }
     /// Sets the function that returns whether a piece of a request may be retried after a call that
     /// may have crashed its server.
     void setMayRetry(std::function<bool(const request_digest &)> mayRetry)
     {
         m_mayRetry = std::move(mayRetry);
     }
-    void submit(piece_job job);
+    void submit(piece_task job);
     /// Withdraws a piece that is no longer needed. If it is already in a call, `onEnd` may still
     /// return its result, with token 0, so that the result can be freed.
     void withdraw(piece_token token);
@@ -155,7 +155,7 @@
     struct active_call
     {
         server_ptr server;
-        std::vector<piece_job> jobs;
+        std::vector<piece_task> jobs;
         steady_time startedAt;
         std::chrono::microseconds expected{0};
     };
@@ -175,21 +175,21 @@
 
     /// Returns whether `a` precedes `b` at time `now`, for a server in the data centre `at`; if
     /// `at` is empty, for a server anywhere.
-    [[nodiscard]] bool precedes(const piece_job &a, const piece_job &b, const data_center_id &at,
+    [[nodiscard]] bool precedes(const piece_task &a, const piece_task &b, const data_center_id &at,
                                 steady_time now) const;
-    [[nodiscard]] bool isLate(const piece_job &job, steady_time now) const;
+    [[nodiscard]] bool isLate(const piece_task &job, steady_time now) const;
     [[nodiscard]] std::vector<bool> findLatePieces(double servers);
     [[nodiscard]] std::vector<server_ptr> idleServers(const std::vector<server_ptr> &servers,
-                                                      const data_center_id &near);
+                                                      const data_center_id &preferredDataCenter);
     /// Returns the end of the run of waiting pieces of the same request and stage from `begin` on.
     [[nodiscard]] std::size_t groupEnd(std::size_t begin) const;
-    [[nodiscard]] std::vector<piece_job> takeBatch(const server &chosen, bool mayWait);
+    [[nodiscard]] std::vector<piece_task> takeBatch(const server &chosen, bool mayWait);
     /// Returns whether a piece still waits for a server in its inputs' data centre instead of going
     /// to `chosen`.
-    [[nodiscard]] bool waitsForLocalServer(const piece_job &job, const server &chosen,
+    [[nodiscard]] bool waitsForLocalServer(const piece_task &job, const server &chosen,
                                            steady_time now) const;
-    [[nodiscard]] steady_time localWaitEnd(const piece_job &job) const;
-    [[nodiscard]] stage_call makeCall(const server_ptr &chosen, std::vector<piece_job> jobs);
+    [[nodiscard]] steady_time localWaitEnd(const piece_task &job) const;
+    [[nodiscard]] stage_call makeCall(const server_ptr &chosen, std::vector<piece_task> jobs);
     void recordResult(const server_start &server, const std::string &handle, std::uint64_t bytes);
     void releaseBytes(const server_start &server, std::uint64_t bytes);
     void dropExpiredResults();
@@ -199,15 +199,15 @@
     [[nodiscard]] std::chrono::microseconds estimateWait(std::size_t pieces, const stage_rank &rank,
                                                          double servers) const;
     void updateSlowness(const active_call &call);
-    void retryOrFail(piece_job job, stage_call_end callEnd, std::vector<piece_outcome> &out);
+    void retryOrFail(piece_task job, stage_call_end callEnd, std::vector<piece_outcome> &out);
 
     const clock_source &m_clock;
     service_id m_service;
-    retry_allowance &m_allowance;
+    retry_budget &m_retryBudget;
     stage_capacity m_capacity;
     std::function<bool(const request_digest &)> m_mayRetry; ///< if empty, always
     bool m_waitsForLocalServer = true;
-    std::vector<piece_job> m_waiting;
+    std::vector<piece_task> m_waiting;
     std::map<stage_rank, decaying_rate> m_arrivals;
     std::map<stage_call_id, active_call> m_calls;
     std::map<server_start, server_state> m_servers;
--- a/src/gateway/stages/stage_work.cpp
+++ b/src/gateway/stages/stage_progress.cpp
@@ -1,4 +1,4 @@
-#include "gateway/stages/stage_work.h"
+#include "gateway/stages/stage_progress.h"
 
 #include <algorithm>
 
@@ -11,20 +11,21 @@
 
 } // namespace
 
-std::optional<stage_work> stage_work::create(const route &stagedRoute, const request_marks &marks)
+std::optional<stage_progress> stage_progress::create(const route &stagedRoute,
+                                                     const request_metadata &metadata)
 {
-    if (marks.pieceCounts.size() != stagedRoute.stages.size())
+    if (metadata.pieceCounts.size() != stagedRoute.stages.size())
         return std::nullopt;
-    stage_work created;
-    created.m_attempt = marks.attempt;
-    created.m_key = marks.pieceKey;
+    stage_progress created;
+    created.m_attempt = metadata.attempt;
+    created.m_key = metadata.pieceKey;
     for (std::size_t i = 0; i < stagedRoute.stages.size(); ++i) {
-        if (marks.pieceCounts[i] > MaxPieces)
+        if (metadata.pieceCounts[i] > MaxPieces)
             return std::nullopt;
         stage_state state;
         state.spec = stagedRoute.stages[i];
-        state.handles.resize(marks.pieceCounts[i]);
-        state.missing = marks.pieceCounts[i];
+        state.handles.resize(metadata.pieceCounts[i]);
+        state.missing = metadata.pieceCounts[i];
         created.m_missing += state.missing;
         created.m_stages.push_back(std::move(state));
     }
@@ -38,14 +39,14 @@
     return created;
 }
 
-bool stage_work::inputsReady(const stage_state &stage) const
+bool stage_progress::inputsReady(const stage_state &stage) const
 {
     return std::ranges::all_of(stage.spec.after, [&](std::size_t dependency) {
         return m_stages[dependency].missing == 0;
     });
 }
 
-std::vector<std::string> stage_work::inputsOf(const stage_state &stage) const
+std::vector<std::string> stage_progress::inputsOf(const stage_state &stage) const
 {
     std::vector<std::string> inputs;
     for (const std::size_t dependency : stage.spec.after) {
@@ -55,7 +56,7 @@
     return inputs;
 }
 
-std::uint64_t stage_work::inputBytesOf(const stage_state &stage) const
+std::uint64_t stage_progress::inputBytesOf(const stage_state &stage) const
 {
     std::uint64_t bytes = 0;
     for (const std::size_t dependency : stage.spec.after)
@@ -65,7 +66,7 @@
 
 // Stages are ordered after those that they depend on, so one pass is enough.
 std::chrono::microseconds
-stage_work::remainingChainTime(const std::vector<std::chrono::microseconds> &stageTimes) const
+stage_progress::remainingChainTime(const std::vector<std::chrono::microseconds> &stageTimes) const
 {
     std::vector<std::chrono::microseconds> ends(m_stages.size(), std::chrono::microseconds{0});
     std::chrono::microseconds longest{0};
@@ -81,8 +82,8 @@
     return longest;
 }
 
-std::vector<stage_work::ready_piece>
-stage_work::takeReady(const std::vector<std::chrono::microseconds> &stageTimes)
+std::vector<stage_progress::ready_piece>
+stage_progress::takeReadyPieces(const std::vector<std::chrono::microseconds> &stageTimes)
 {
     std::vector<ready_piece> ready;
     const auto remainingTime = remainingChainTime(stageTimes);
@@ -111,7 +112,7 @@
     return ready;
 }
 
-bool stage_work::onResult(std::uint32_t stage, std::uint32_t piece, std::string handle)
+bool stage_progress::onResult(std::uint32_t stage, std::uint32_t piece, std::string handle)
 {
     auto &state = m_stages[stage];
     if (handle.empty() || !state.handles[piece].empty())
@@ -121,7 +122,7 @@
     return --state.missing == 0;
 }
 
-void stage_work::restart()
+void stage_progress::restart()
 {
     m_missing = 0;
     for (auto &stage : m_stages) {
@@ -133,7 +134,7 @@
     }
 }
 
-std::vector<std::string> stage_work::inputs() const
+std::vector<std::string> stage_progress::inputs() const
 {
     std::vector<std::string> handles;
     for (const auto &stage : m_stages) {
@@ -143,7 +144,7 @@
     return handles;
 }
 
-std::vector<std::string> stage_work::allHandles() const
+std::vector<std::string> stage_progress::allHandles() const
 {
     std::vector<std::string> handles;
     for (const auto &stage : m_stages) {
@@ -155,7 +156,7 @@
     return handles;
 }
 
-std::optional<stage_work::stage_results> stage_work::largest() const
+std::optional<stage_progress::stage_results> stage_progress::largest() const
 {
     std::optional<stage_results> best;
     for (const auto &stage : m_stages) {
@@ -168,7 +169,7 @@
     return best;
 }
 
-std::vector<std::string> stage_work::takeSpent()
+std::vector<std::string> stage_progress::takeUnneededHandles()
 {
     std::vector<std::string> spent;
     for (std::size_t i = 0; i < m_stages.size(); ++i) {
--- a/src/gateway/stages/stage_work.h
+++ b/src/gateway/stages/stage_progress.h
@@ -12,13 +12,13 @@
 
 /// Tracks the progress of one request's stages: which pieces can be submitted, and which have
 /// results.
-class stage_work
+class stage_progress
 {
 public:
     /// Creates the state for a request; nothing if its piece counts don't match the route's stages
     /// or are too high, or if a stage depends on one that doesn't exist.
-    [[nodiscard]] static std::optional<stage_work> create(const route &stagedRoute,
-                                                          const request_marks &marks);
+    [[nodiscard]] static std::optional<stage_progress> create(const route &stagedRoute,
+                                                              const request_metadata &metadata);
 
     /// A piece that can be submitted, with its service.
     struct ready_piece
@@ -32,7 +32,7 @@
     /// holds the estimated duration of each stage. A stage without dependents is deferred until the
     /// remaining stages take no longer than itself: until then its results would only occupy room.
     [[nodiscard]] std::vector<ready_piece>
-    takeReady(const std::vector<std::chrono::microseconds> &stageTimes);
+    takeReadyPieces(const std::vector<std::chrono::microseconds> &stageTimes);
     /// Records a result; returns whether it completes its stage.
     bool onResult(std::uint32_t stage, std::uint32_t piece, std::string handle);
     /// Resets all stages after results were lost.
@@ -53,7 +53,7 @@
     [[nodiscard]] std::optional<stage_results> largest() const;
     /// Returns the handles that are no longer needed and weren't returned before: the results of
     /// stages all of whose dependents are complete.
-    [[nodiscard]] std::vector<std::string> takeSpent();
+    [[nodiscard]] std::vector<std::string> takeUnneededHandles();
 
 private:
     struct stage_state
@@ -62,7 +62,7 @@
         std::vector<std::string> handles; ///< empty while the result is missing
         std::uint32_t missing = 0;
         bool submitted = false;
-        bool spent = false; ///< its results were returned by `takeSpent`
+        bool spent = false; ///< its results were returned by `takeUnneededHandles`
         bool hasDependents = false; ///< another stage has its results as inputs
     };
 
--- a/src/gateway/stages/stage_router.h
+++ b/src/gateway/stages/stage_router.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/peers/peer_network.h"
-#include "gateway/servers/pool_widths.h"
+#include "gateway/servers/pool_splitter.h"
 #include "gateway/stages/stage_host.h"
 
 #include <functional>
@@ -26,27 +26,30 @@
     using piece_handler = typename stage_host<Codec>::piece_handler;
 
     stage_router(http::io_loop &loop, wire::log &log, peer_network &peers, stage_host<Codec> &host,
-                 server_directory &directory, retry_allowance &allowance,
+                 server_directory &directory, retry_budget &retryBudget,
                  const gateway_settings &settings);
 
     /// Sets the function that returns whether this node has the list of servers and can host pools
     /// for other nodes. If unset, the node always hosts.
-    void setPrepared(std::function<bool()> prepared) { m_prepared = std::move(prepared); }
+    void setReadinessCheck(std::function<bool()> prepared) { m_prepared = std::move(prepared); }
     /// Returns the node that hosts a pool, from the view of this node.
     [[nodiscard]] vm_id hostOf(const pool_key &pool) const;
-    /// Returns the pool of a service for work that is preferably done in the data centre `near`.
-    [[nodiscard]] pool_key poolFor(const service_id &service, const data_center_id &near,
+    /// Returns the pool of a service for work that is preferably done in the data centre
+    /// `preferredDataCenter`.
+    [[nodiscard]] pool_key poolFor(const service_id &service,
+                                   const data_center_id &preferredDataCenter,
                                    const residency &allowed = {});
     /// Returns how long all pools of a service are backing off, as reported by their hosts because
     /// their servers asked for it. Empty if one of them accepts pieces.
-    [[nodiscard]] std::optional<milliseconds>
-    backoffOf(const service_id &service, const data_center_id &near, const residency &allowed);
+    [[nodiscard]] std::optional<milliseconds> backoffOf(const service_id &service,
+                                                        const data_center_id &preferredDataCenter,
+                                                        const residency &allowed);
     /// Forgets the backoffs of a service whose servers were added, changed or removed.
     void onServersChanged(const service_id &service);
-    piece_token submit(const service_id &service, piece_job &&job, piece_handler &&handler);
+    piece_token submit(const service_id &service, piece_task &&job, piece_handler &&handler);
     void withdraw(piece_token token);
     /// Frees results through the hosts of their pools, which account for them.
-    void free(const std::vector<std::string> &handles);
+    void freeResults(const std::vector<std::string> &handles);
 
     /// Handles frames about pieces, and pings; ignores others.
     void onFrame(const std::shared_ptr<peer_link> &link, peer_frame &&frame);
@@ -60,7 +63,7 @@
     struct submission
     {
         pool_key pool;
-        piece_job job;
+        piece_task job;
         piece_handler handler;
         link_ptr link; ///< to the host; null if this node is the host
         piece_token local = 0; ///< from this node's `stage_host`
@@ -76,7 +79,8 @@
 
     /// Returns the pool of `poolFor` unless it is backing off. Otherwise returns another pool that
     /// isn't, preferably that of this node's data centre; if there is none, that of `poolFor`.
-    [[nodiscard]] pool_key availablePoolFor(const service_id &service, const data_center_id &near,
+    [[nodiscard]] pool_key availablePoolFor(const service_id &service,
+                                            const data_center_id &preferredDataCenter,
                                             const residency &allowed);
     [[nodiscard]] std::optional<milliseconds> backoffOf(const pool_key &pool) const;
     void routePiece(piece_token token, submission &entry);
@@ -93,7 +97,7 @@
     [[nodiscard]] bool moveToOwnDataCenter(piece_token token, submission &entry);
     /// Routes a piece again after `delay`, never within the handler of its outcome.
     void routePieceLater(piece_token token, submission &entry, milliseconds delay);
-    void onPieceFrame(const link_ptr &link, piece_frame &&frame);
+    void onPieceFrame(const link_ptr &link, submit_piece_frame &&frame);
     void onWithdrawFrame(const link_ptr &link, piece_token token);
 
     http::io_loop &m_loop;
@@ -101,11 +105,11 @@
     peer_network &m_peers;
     stage_host<Codec> &m_host;
     server_directory &m_directory;
-    retry_allowance &m_allowance;
+    retry_budget &m_retryBudget;
     data_center_id m_dataCenter; ///< of this node
     std::function<bool()> m_prepared;
     stage_sharing m_sharing;
-    pool_widths m_widths;
+    pool_splitter m_splitter;
     std::unordered_map<piece_token, submission> m_submissions;
     std::map<link_ptr, std::unordered_map<piece_token, piece_token>>
         m_hostedPieces; ///< by link, from the peer's token to that of `m_host`
--- a/src/gateway/stages/stage_router_impl.h
+++ b/src/gateway/stages/stage_router_impl.h
@@ -15,7 +15,7 @@
 inline constexpr milliseconds HostTimeout{320};
 /// A data centre with three or more servers fills calls by itself. With one or two, the cost of
 /// calls with fewer pieces exceeds that of transferring results between data centres.
-inline constexpr pool_width_limits StagePoolWidths{3, 2};
+inline constexpr pool_split_limits StagePoolWidths{3, 2};
 /// Delay before a piece is sent again to a host that sees its servers leaving or evacuated while
 /// this node doesn't yet. Nodes exchange such updates within a few ticks.
 inline constexpr milliseconds ServerUpdateDelay{150};
@@ -28,19 +28,19 @@
 template <gateway_codec Codec>
 stage_router<Codec>::stage_router(http::io_loop &loop, wire::log &log, peer_network &peers,
                                   stage_host<Codec> &host, server_directory &directory,
-                                  retry_allowance &allowance, const gateway_settings &settings)
+                                  retry_budget &retryBudget, const gateway_settings &settings)
     : m_loop(loop)
     , m_log(log)
     , m_peers(peers)
     , m_host(host)
     , m_directory(directory)
-    , m_allowance(allowance)
+    , m_retryBudget(retryBudget)
     , m_dataCenter(settings.dataCenter)
     , m_sharing(settings.stageCalls)
-    , m_widths(directory, StagePoolWidths)
+    , m_splitter(directory, StagePoolWidths)
 {
-    if (settings.without.contains(policy::SplitPools))
-        m_widths.keepJoined();
+    if (settings.disabledPolicies.contains(policy::SplitPools))
+        m_splitter.disableSplitting();
 }
 
 template <gateway_codec Codec>
@@ -50,10 +50,11 @@
 }
 
 template <gateway_codec Codec>
-pool_key stage_router<Codec>::poolFor(const service_id &service, const data_center_id &near,
+pool_key stage_router<Codec>::poolFor(const service_id &service,
+                                      const data_center_id &preferredDataCenter,
                                       const residency &allowed)
 {
-    return m_widths.poolFor(service, near, allowed);
+    return m_splitter.poolFor(service, preferredDataCenter, allowed);
 }
 
 template <gateway_codec Codec>
@@ -64,12 +65,12 @@
 }
 
 template <gateway_codec Codec>
-piece_token stage_router<Codec>::submit(const service_id &service, piece_job &&job,
+piece_token stage_router<Codec>::submit(const service_id &service, piece_task &&job,
                                         piece_handler &&handler)
 {
     const auto token = ++m_lastToken;
     auto &entry = m_submissions[token];
-    entry.pool = availablePoolFor(service, job.near, job.allowed);
+    entry.pool = availablePoolFor(service, job.preferredDataCenter, job.allowed);
     entry.job = std::move(job);
     entry.handler = std::move(handler);
     routePiece(token, entry);
@@ -90,9 +91,10 @@
 
 template <gateway_codec Codec>
 pool_key stage_router<Codec>::availablePoolFor(const service_id &service,
-                                               const data_center_id &near, const residency &allowed)
+                                               const data_center_id &preferredDataCenter,
+                                               const residency &allowed)
 {
-    auto nearest = poolFor(service, near, allowed);
+    auto nearest = poolFor(service, preferredDataCenter, allowed);
     if (m_backedOffPools.empty() || !backoffOf(nearest))
         return nearest;
     if (auto own = poolFor(service, m_dataCenter, allowed);
@@ -107,13 +109,13 @@
 }
 
 template <gateway_codec Codec>
-std::optional<milliseconds> stage_router<Codec>::backoffOf(const service_id &service,
-                                                           const data_center_id &near,
-                                                           const residency &allowed)
+std::optional<milliseconds>
+stage_router<Codec>::backoffOf(const service_id &service, const data_center_id &preferredDataCenter,
+                               const residency &allowed)
 {
     if (m_backedOffPools.empty())
         return std::nullopt;
-    return backoffOf(availablePoolFor(service, near, allowed));
+    return backoffOf(availablePoolFor(service, preferredDataCenter, allowed));
 }
 
 template <gateway_codec Codec>
@@ -138,17 +140,18 @@
     const auto timeUntil = [now](steady_time due) {
         return std::chrono::duration_cast<milliseconds>(due - now);
     };
-    entry.link->send(piece_frame{token, entry.pool, entry.job.request, entry.job.rank,
-                                 timeUntil(entry.job.aim), timeUntil(entry.job.deadline),
-                                 entry.job.near, entry.job.inputBytes, entry.job.resultBytes});
+    entry.link->send(submit_piece_frame{
+        token, entry.pool, entry.job.request, entry.job.rank, timeUntil(entry.job.softDeadline),
+        timeUntil(entry.job.deadline), entry.job.preferredDataCenter, entry.job.inputBytes,
+        entry.job.resultBytes});
 }
 
 template <gateway_codec Codec>
-void stage_router<Codec>::free(const std::vector<std::string> &handles)
+void stage_router<Codec>::freeResults(const std::vector<std::string> &handles)
 {
     std::map<pool_key, std::vector<std::string>> byPool;
     for (const auto &each : handles) {
-        const auto address = parseSocketAddress(holderOf(each));
+        const auto address = parseSocketAddress(resultServerAddress(each));
         const auto holder = address ? m_directory.findAt(*address) : nullptr;
         // The results of a removed server are lost with it.
         if (holder)
@@ -156,9 +159,9 @@
     }
     for (auto &[pool, list] : byPool) {
         if (const auto link = linkToHost(pool))
-            link->send(free_frame{std::move(list)});
+            link->send(free_results_frame{std::move(list)});
         else
-            m_host.free(list);
+            m_host.freeResults(list);
     }
 }
 
@@ -168,20 +171,20 @@
     const auto found = m_submissions.find(token);
     if (found == m_submissions.end()) {
         if (const auto *handle = std::get_if<std::string>(&report.result))
-            m_host.free({*handle});
+            m_host.freeResults({*handle});
         return;
     }
     const auto *failure = std::get_if<piece_failure>(&report.result);
-    if (failure && *failure == piece_failure::HostUnready && found->second.link) {
+    if (failure && *failure == piece_failure::HostNotReady && found->second.link) {
         avoidUnreadyHost(token, found->second);
         return;
     }
-    if (failure && *failure == piece_failure::ServersBackedOff)
+    if (failure && *failure == piece_failure::ServersBackingOff)
         m_backedOffPools[found->second.pool] = {hostOf(found->second.pool),
                                                 m_loop.now() + report.wait};
-    if (failure && poolIsClosed(*failure) && moveFromClosedPool(token, found->second))
+    if (failure && poolRefusesWork(*failure) && moveFromClosedPool(token, found->second))
         return;
-    if (failure && *failure == piece_failure::Unreached
+    if (failure && *failure == piece_failure::ServersUnreachable
         && moveToOwnDataCenter(token, found->second))
         return;
     const auto handler = std::move(found->second.handler);
@@ -196,7 +199,8 @@
 bool stage_router<Codec>::moveFromClosedPool(piece_token token, submission &entry)
 {
     const auto previousPool = std::exchange(
-        entry.pool, availablePoolFor(entry.pool.service, entry.job.near, entry.job.allowed));
+        entry.pool,
+        availablePoolFor(entry.pool.service, entry.job.preferredDataCenter, entry.job.allowed));
     if (entry.moves++ >= MaxMoves || m_directory.usable(entry.pool).empty()
         || backoffOf(entry.pool))
         return false;
@@ -236,7 +240,7 @@
         return false;
     m_backedOffPools[entry.pool] = {hostOf(entry.pool), m_loop.now() + UnreachablePoolPause};
     entry.pool = std::move(*own);
-    entry.job.near = m_dataCenter;
+    entry.job.preferredDataCenter = m_dataCenter;
     entry.moves = 0;
     routePieceLater(token, entry, milliseconds{0});
     return true;
@@ -258,7 +262,7 @@
     if (found == m_submissions.end())
         return;
     if (found->second.link)
-        found->second.link->send(withdraw_frame{token});
+        found->second.link->send(cancel_piece_frame{token});
     else
         m_host.withdraw(found->second.local);
     m_submissions.erase(found);
@@ -267,35 +271,35 @@
 template <gateway_codec Codec>
 void stage_router<Codec>::onFrame(const link_ptr &link, peer_frame &&frame)
 {
-    if (auto *piece = std::get_if<piece_frame>(&frame))
+    if (auto *piece = std::get_if<submit_piece_frame>(&frame))
         onPieceFrame(link, std::move(*piece));
-    else if (const auto *withdrawn = std::get_if<withdraw_frame>(&frame))
+    else if (const auto *withdrawn = std::get_if<cancel_piece_frame>(&frame))
         onWithdrawFrame(link, withdrawn->token);
-    else if (auto *outcome = std::get_if<outcome_frame>(&frame))
+    else if (auto *outcome = std::get_if<piece_outcome_frame>(&frame))
         onOutcome(outcome->token, std::move(outcome->report));
-    else if (const auto *freed = std::get_if<free_frame>(&frame))
-        m_host.free(freed->handles);
+    else if (const auto *freed = std::get_if<free_results_frame>(&frame))
+        m_host.freeResults(freed->handles);
     else if (std::holds_alternative<ping_frame>(frame))
         link->send(pong_frame{});
 }
 
 template <gateway_codec Codec>
-void stage_router<Codec>::onPieceFrame(const link_ptr &link, piece_frame &&frame)
+void stage_router<Codec>::onPieceFrame(const link_ptr &link, submit_piece_frame &&frame)
 {
     const auto peerToken = frame.token;
     // Other nodes choose a new node as a host as soon as they see it in the membership, before it
     // has read the list of servers.
     if (m_prepared && !m_prepared()) {
-        link->send(outcome_frame{peerToken, {piece_failure::HostUnready}});
+        link->send(piece_outcome_frame{peerToken, {piece_failure::HostNotReady}});
         return;
     }
     const auto now = m_loop.now();
-    piece_job job;
+    piece_task job;
     job.request = std::move(frame.request);
     job.rank = frame.rank;
-    job.aim = now + frame.aimLeft;
+    job.softDeadline = now + frame.softDeadlineLeft;
     job.deadline = now + frame.deadlineLeft;
-    job.near = frame.near;
+    job.preferredDataCenter = frame.preferredDataCenter;
     job.inputBytes = frame.inputBytes;
     job.resultBytes = frame.resultBytes;
     auto handler = [this, weak = std::weak_ptr(link), peerToken](piece_report report) {
@@ -303,7 +307,7 @@
         if (!target)
             return;
         m_hostedPieces[target].erase(peerToken);
-        target->send(outcome_frame{peerToken, std::move(report)});
+        target->send(piece_outcome_frame{peerToken, std::move(report)});
     };
     m_hostedPieces[link][peerToken] = m_host.submit(frame.pool, std::move(job), std::move(handler));
 }
@@ -342,7 +346,7 @@
         if (found == m_submissions.end())
             continue;
         ++found->second.moves;
-        m_allowance.onForced(found->second.pool.service, 1);
+        m_retryBudget.onForcedRetry(found->second.pool.service, 1);
         routePiece(token, found->second);
     }
 }
@@ -357,10 +361,10 @@
     }
     for (const auto &link : awaitedLinks) {
         const auto now = m_loop.now();
-        if (link->askedAt() && now - *link->askedAt() > HostTimeout)
+        if (link->pingSentAt() && now - *link->pingSentAt() > HostTimeout)
             link->close();
-        else if (now - link->lastHeard() > HostPingDelay)
-            link->ask();
+        else if (now - link->lastReceivedAt() > HostPingDelay)
+            link->sendPing();
     }
 }
 
--- a/tests/gateway/data_center_reachability_test.cpp
+++ b/tests/gateway/data_center_reachability_test.cpp
@@ -45,7 +45,7 @@
 {
     fixture world;
     world.reachability.onLivenessSignal(Other);
-    world.reachability.onUse(Other);
+    world.reachability.onTraffic(Other);
     CHECK_FALSE(world.seen(reachability_event_type::ProbePeers, milliseconds{100}));
     CHECK(world.seen(reachability_event_type::ProbePeers, milliseconds{100}));
     CHECK(world.seen(reachability_event_type::ProbeServers, milliseconds{200}));
@@ -58,7 +58,7 @@
 {
     fixture world;
     world.reachability.onLivenessSignal(Other);
-    world.reachability.onUse(Other);
+    world.reachability.onTraffic(Other);
     CHECK_FALSE(world.seen(reachability_event_type::Lost, milliseconds{400}));
     world.reachability.onLivenessSignal(Other);
     CHECK_FALSE(world.seen(reachability_event_type::Lost, milliseconds{400}));
@@ -72,7 +72,7 @@
 {
     fixture world;
     world.reachability.onLivenessSignal(Other);
-    world.reachability.onUse(Other);
+    world.reachability.onTraffic(Other);
     CHECK(world.seen(reachability_event_type::Lost, milliseconds{600}));
     CHECK(world.seen(reachability_event_type::ProbePeers, milliseconds{400}));
     CHECK(world.seen(reachability_event_type::ProbeServers, milliseconds{400}));
@@ -82,7 +82,7 @@
 {
     fixture world;
     world.reachability.onLivenessSignal(Other);
-    world.reachability.onUse(Other);
+    world.reachability.onTraffic(Other);
     world.clock.advance(milliseconds{3000});
     CHECK(world.reachability.tick().empty());
     CHECK(world.reachability.isReachable(Other));
@@ -113,7 +113,7 @@
     fixture world;
     world.reachability.onLivenessSignal(Other);
     CHECK_FALSE(world.seen(reachability_event_type::Lost, milliseconds{1800}));
-    world.reachability.onUse(Other);
+    world.reachability.onTraffic(Other);
     CHECK_FALSE(world.seen(reachability_event_type::Lost, milliseconds{400}));
     world.reachability.onLivenessSignal(Other);
     CHECK(world.seen(reachability_event_type::ProbePeers, milliseconds{300}));
@@ -129,7 +129,7 @@
 {
     fixture world;
     world.reachability.onLivenessSignal(Other);
-    world.reachability.onUse(Other);
+    world.reachability.onTraffic(Other);
     CHECK(world.seen(reachability_event_type::Lost, milliseconds{600}));
     world.seen(reachability_event_type::Lost, milliseconds{20'000});
     CHECK(world.seen(reachability_event_type::ProbePeers, milliseconds{400}));
--- a/tests/gateway/time_estimates_test.cpp
+++ b/tests/gateway/latency_estimator_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange/time_estimates.h"
+#include "gateway/exchange/latency_estimator.h"
 
 #include <catch2/catch.hpp>
 
@@ -33,7 +33,7 @@
 TEST_CASE("time_estimates: a stage takes at least one call")
 {
     manual_clock clock;
-    time_estimates times(clock);
+    latency_estimator times(clock);
     const auto service = makeService();
     CHECK(times.stageTime(&service, Pool, Urgent) == OneCall);
     times.onStage(Pool, Urgent, milliseconds{100});
@@ -45,7 +45,7 @@
 {
     manual_clock clock;
     clock.advance(std::chrono::seconds{60});
-    time_estimates times(clock);
+    latency_estimator times(clock);
     const auto service = makeService();
     times.onStage(Pool, Patient, milliseconds{1200});
     CHECK(times.stageTime(&service, Pool, Patient) == milliseconds{1200});
@@ -61,7 +61,7 @@
 {
     manual_clock clock;
     clock.advance(std::chrono::seconds{60});
-    time_estimates times(clock);
+    latency_estimator times(clock);
     configuration content;
     content.services.push_back(makeService());
     const configuration_index index(content);
@@ -90,7 +90,7 @@
 struct staged_world
 {
     manual_clock clock;
-    time_estimates times{clock};
+    latency_estimator times{clock};
     configuration_ptr configuration;
     route routeSpec;
     std::vector<pool_key> pools{Pool};
@@ -105,7 +105,7 @@
         content.services = {makeService()};
         configuration = std::make_shared<const configuration_index>(std::move(content));
     }
-    [[nodiscard]] time_estimates::forecast forecastFor(const stage_rank &rank) const
+    [[nodiscard]] latency_estimator::forecast forecastFor(const stage_rank &rank) const
     {
         return times.forecastOf({*configuration, routeSpec, Engine, rank, pools, pieces});
     }
--- a/tests/gateway/list_digest_test.cpp
+++ b/tests/gateway/list_digest_test.cpp
@@ -54,7 +54,7 @@
         static_cast<std::uint32_t>(digestPartOf(backend_server_id("i-42")))};
     CHECK(differsAfter([](server_record &each) { each.leaving = true; }) == expected);
     CHECK(differsAfter([](server_record &each) { each.slots = 5; }) == expected);
-    CHECK(differsAfter([](server_record &each) { each.born = 1; }) == expected);
+    CHECK(differsAfter([](server_record &each) { each.startedAt = 1; }) == expected);
     CHECK(differsAfter([](server_record &each) { each.address.port = 9; }) == expected);
     CHECK(differsAfter([](server_record &each) { each.service = service_id("t"); }) == expected);
     CHECK(differsAfter([](server_record &each) { each.dataCenter = data_center_id("d"); })
--- a/tests/gateway/peer_frames_test.cpp
+++ b/tests/gateway/peer_frames_test.cpp
@@ -19,9 +19,9 @@
     return std::get<Frame>(read.value().front());
 }
 
-piece_frame makePiece()
+submit_piece_frame makePiece()
 {
-    piece_frame frame;
+    submit_piece_frame frame;
     frame.token = 7;
     frame.pool = {service_id("s"), data_center_id("dc-1")};
     frame.request = {"r1",
@@ -32,9 +32,9 @@
                      {"a/1", "b/2"},
                      requestDigestOf({customer_id("c"), "h", "/p", "body"})};
     frame.rank = {1, 2};
-    frame.aimLeft = milliseconds{-50};
+    frame.softDeadlineLeft = milliseconds{-50};
     frame.deadlineLeft = milliseconds{900};
-    frame.near = data_center_id("dc");
+    frame.preferredDataCenter = data_center_id("dc");
     frame.inputBytes = 360'000;
     frame.resultBytes = 1'500'000;
     return frame;
@@ -49,7 +49,7 @@
     CHECK(read.request.inputs == std::vector<std::string>{"a/1", "b/2"});
     CHECK(read.request.stage == 2);
     CHECK(read.request.piece == 3);
-    CHECK(read.aimLeft == milliseconds{-50});
+    CHECK(read.softDeadlineLeft == milliseconds{-50});
     CHECK(read.rank == stage_rank{1, 2});
     CHECK(read.request.digest == makePiece().request.digest);
     CHECK(read.inputBytes == 360'000);
@@ -58,12 +58,12 @@
 
 TEST_CASE("an outcome frame keeps a result handle or a failure reason")
 {
-    const outcome_frame made{1, {std::string("h/1"), milliseconds{70}}};
+    const piece_outcome_frame made{1, {std::string("h/1"), milliseconds{70}}};
     CHECK(std::get<std::string>(roundTrip(made).report.result) == "h/1");
     CHECK(roundTrip(made).report.wait == milliseconds{70});
     for (const auto &row : enumNames<piece_failure>) {
         INFO("reason " << row.name);
-        const auto read = roundTrip(outcome_frame{1, {row.value, milliseconds{0}}});
+        const auto read = roundTrip(piece_outcome_frame{1, {row.value, milliseconds{0}}});
         CHECK(std::get<piece_failure>(read.report.result) == row.value);
     }
 }
@@ -82,7 +82,7 @@
         record.dataCenter = data_center_id("data-center-" + std::to_string(i % 6));
         record.address = {"10.1." + std::to_string(i % 200) + "." + std::to_string(i / 200), 8000};
         record.slots = 64;
-        record.born = 1'764'000'000'000 + i;
+        record.startedAt = 1'764'000'000'000 + i;
         frame.servers.push_back({record, {}});
     }
     const auto bytes = encodeFrame(frame);
@@ -136,15 +136,15 @@
         record.slots = 4;
         record.leaving = i == 1;
         if (i == 1)
-            record.born = 1'764'000'000'000;
+            record.startedAt = 1'764'000'000'000;
         frame.servers.push_back({record, milliseconds{700}});
     }
     const auto read = roundTrip(frame);
     REQUIRE(read.servers.size() == 3);
     CHECK(read.servers[1].record.leaving);
-    CHECK(read.servers[1].coldFor == milliseconds{700});
-    CHECK_FALSE(read.servers[0].record.born);
-    CHECK(read.servers[1].record.born == 1'764'000'000'000);
+    CHECK(read.servers[1].coldTimeLeft == milliseconds{700});
+    CHECK_FALSE(read.servers[0].record.startedAt);
+    CHECK(read.servers[1].record.startedAt == 1'764'000'000'000);
     CHECK(read.servers[2].record.address.port == 82);
     CHECK(read.configurationVersion == 17);
     CHECK(read.current);
@@ -164,8 +164,8 @@
     CHECK(roundTrip(follow_frame{true, 7, known}).revision == 7);
     CHECK(roundTrip(follow_frame{true, 7, known}).known == known);
     CHECK_FALSE(roundTrip(follow_frame{}).begins);
-    CHECK(roundTrip(compare_frame{8, known}).revision == 8);
-    CHECK(roundTrip(compare_frame{8, known}).known == known);
+    CHECK(roundTrip(list_digest_frame{8, known}).revision == 8);
+    CHECK(roundTrip(list_digest_frame{8, known}).known == known);
     CHECK(roundTrip(publication_request{7, known}).known == known);
     CHECK(roundTrip(publication_request{7, known}).configurationVersion == 7);
 }
@@ -188,16 +188,16 @@
 {
     place_frame frame;
     frame.id = 5;
-    frame.wish.prompt = {{"a", 100}, {"b", 200}};
-    frame.wish.exclude = {backend_server_id("s1")};
-    frame.wish.nearBytes = 12;
-    frame.wish.pool = {service_id("e"), data_center_id("dc-2")};
+    frame.query.prompt = {{"a", 100}, {"b", 200}};
+    frame.query.exclude = {backend_server_id("s1")};
+    frame.query.transferBytes = 12;
+    frame.query.pool = {service_id("e"), data_center_id("dc-2")};
     const auto read = roundTrip(frame);
-    REQUIRE(read.wish.prompt.size() == 2);
-    CHECK(read.wish.pool == frame.wish.pool);
-    CHECK(read.wish.prompt[1].id == "b");
-    CHECK(read.wish.prompt[1].tokens == 200);
-    CHECK(read.wish.exclude == frame.wish.exclude);
+    REQUIRE(read.query.prompt.size() == 2);
+    CHECK(read.query.pool == frame.query.pool);
+    CHECK(read.query.prompt[1].id == "b");
+    CHECK(read.query.prompt[1].tokens == 200);
+    CHECK(read.query.exclude == frame.query.exclude);
 }
 
 TEST_CASE("placed and progress frames keep server, wait and server signals")
@@ -205,44 +205,46 @@
     const auto placed = roundTrip(placed_frame{3, backend_server_id("s1"), milliseconds{70}, true});
     CHECK(placed.server.value == "s1");
     CHECK(placed.wait == milliseconds{70});
-    CHECK(placed.allBounded);
-    const auto silent = roundTrip(progress_frame{3, progress_frame::what::Ended});
+    CHECK(placed.allRateLimited);
+    const auto silent =
+        roundTrip(placement_progress_frame{3, placement_progress_frame::what::Ended});
     CHECK_FALSE(silent.signals.rateLimit.readable);
     server_signals signals;
     signals.rateLimit.perSecond = 2.5;
     signals.leaving = true;
     signals.refused = true;
     signals.retryAfter = milliseconds{300};
-    const auto told = roundTrip(progress_frame{3, progress_frame::what::FirstAnswer, signals});
-    CHECK(told.signals.leaving);
-    CHECK(told.signals.refused);
-    CHECK_FALSE(told.signals.taken);
+    const auto progress =
+        roundTrip(placement_progress_frame{3, placement_progress_frame::what::FirstToken, signals});
+    CHECK(progress.signals.leaving);
+    CHECK(progress.signals.refused);
+    CHECK_FALSE(progress.signals.taken);
     // A retry delay applies only to the node that received it, so it is not sent.
-    CHECK_FALSE(told.signals.retryAfter);
-    CHECK(told.signals.rateLimit.readable);
-    CHECK(told.signals.rateLimit.perSecond == 2.5);
-    CHECK_FALSE(
-        roundTrip(progress_frame{3, progress_frame::what::Ended, {}}).signals.rateLimit.perSecond);
+    CHECK_FALSE(progress.signals.retryAfter);
+    CHECK(progress.signals.rateLimit.readable);
+    CHECK(progress.signals.rateLimit.perSecond == 2.5);
+    CHECK_FALSE(roundTrip(placement_progress_frame{3, placement_progress_frame::what::Ended, {}})
+                    .signals.rateLimit.perSecond);
 }
 
 TEST_CASE("admission frames keep the rank of the request and the retry time of the answer")
 {
     admission_request frame;
     frame.id = 9;
-    frame.wish.pool = {service_id("e"), data_center_id("dc-2")};
-    frame.wish.rank = {2, 1};
-    frame.wish.patience = milliseconds{800};
-    frame.wish.admitted = true;
+    frame.query.pool = {service_id("e"), data_center_id("dc-2")};
+    frame.query.rank = {2, 1};
+    frame.query.clientTimeout = milliseconds{800};
+    frame.query.admitted = true;
     const auto read = roundTrip(frame);
     CHECK(read.id == 9);
-    CHECK(read.wish.pool == frame.wish.pool);
-    CHECK(read.wish.rank == frame.wish.rank);
-    CHECK(read.wish.patience == milliseconds{800});
-    CHECK(read.wish.admitted);
+    CHECK(read.query.pool == frame.query.pool);
+    CHECK(read.query.rank == frame.query.rank);
+    CHECK(read.query.clientTimeout == milliseconds{800});
+    CHECK(read.query.admitted);
     const auto answer = roundTrip(admission_answer{9, {false, milliseconds{1300}, true}});
-    CHECK_FALSE(answer.told.granted);
-    CHECK(answer.told.comeBack == milliseconds{1300});
-    CHECK(answer.told.allBounded);
+    CHECK_FALSE(answer.admissionDecision.granted);
+    CHECK(answer.admissionDecision.retryDelay == milliseconds{1300});
+    CHECK(answer.admissionDecision.allRateLimited);
 }
 
 TEST_CASE("a rate limits frame keeps server start and age of each limit, and rejects negative ones")
@@ -295,20 +297,20 @@
     SUCCEED();
 }
 
-TEST_CASE("a server ends frame keeps the interrupted requests of each server")
+TEST_CASE("a server crashes frame keeps the in-flight requests of each server")
 {
     const auto digest = requestDigestOf({customer_id("c"), "h", "/p", "body"});
-    const server_ends_frame told{
+    const server_crashes_frame sent{
         {{backend_server_id("s-1"), milliseconds{30}, {{digest, milliseconds{70}}, {}}},
          {backend_server_id("s-2"), milliseconds{0}, {}}}};
-    const auto read = roundTrip(told);
-    REQUIRE(read.ends.size() == 2);
-    CHECK(read.ends[0].server.value == "s-1");
-    CHECK(read.ends[0].ago == milliseconds{30});
-    REQUIRE(read.ends[0].requests.size() == 2);
-    CHECK(read.ends[0].requests[0].digest == digest);
-    CHECK(read.ends[0].requests[0].sentAgo == milliseconds{70});
-    CHECK(read.ends[1].requests.empty());
+    const auto read = roundTrip(sent);
+    REQUIRE(read.serverCrashes.size() == 2);
+    CHECK(read.serverCrashes[0].server.value == "s-1");
+    CHECK(read.serverCrashes[0].ago == milliseconds{30});
+    REQUIRE(read.serverCrashes[0].requests.size() == 2);
+    CHECK(read.serverCrashes[0].requests[0].digest == digest);
+    CHECK(read.serverCrashes[0].requests[0].sentAgo == milliseconds{70});
+    CHECK(read.serverCrashes[1].requests.empty());
 }
 
 TEST_CASE("a quarantine frame keeps level, version and remaining time of each request")
@@ -316,15 +318,15 @@
     const auto digest = requestDigestOf({customer_id("c"), "h", "/p", "body"});
     for (const auto &row : enumNames<quarantine_level>) {
         INFO("level " << row.name);
-        const quarantine_frame told{vm_id("n1"), {{digest, row.value, 17, milliseconds{-5}, 2}}};
-        const auto read = roundTrip(told);
+        const quarantine_frame sent{vm_id("n1"), {{digest, row.value, 17, milliseconds{-5}, 2}}};
+        const auto read = roundTrip(sent);
         CHECK(read.host.value == "n1");
         REQUIRE(read.entries.size() == 1);
         CHECK(read.entries[0].request == digest);
         CHECK(read.entries[0].level == row.value);
         CHECK(read.entries[0].version == 17);
-        CHECK(read.entries[0].left == milliseconds{-5});
-        CHECK(read.entries[0].times == 2);
+        CHECK(read.entries[0].remaining == milliseconds{-5});
+        CHECK(read.entries[0].quarantineCount == 2);
     }
 }
 
--- a/tests/gateway/peer_view_test.cpp
+++ b/tests/gateway/peer_view_test.cpp
@@ -46,7 +46,7 @@
         fleet.kill(node);
     REQUIRE(fleet.runUntilAgreed(milliseconds{30'000}) < milliseconds{30'000});
     fleet.run(milliseconds{5000});
-    fleet.forgetTraffic();
+    fleet.resetTraffic();
     constexpr std::size_t Seconds = 4;
     fleet.run(milliseconds{1000 * Seconds});
     INFO(nodes << " nodes: " << fleet.meanBytesSent() / Seconds << " bytes a second");
@@ -58,11 +58,12 @@
     peer_fleet fleet(nodes, DataCenters, 37);
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{20'000});
-    fleet.forgetTraffic();
+    fleet.resetTraffic();
     constexpr std::size_t Seconds = 5;
     fleet.run(milliseconds{1000 * Seconds});
-    INFO(nodes << " nodes: " << fleet.meanBytesSentFar() / Seconds << " bytes a second");
-    CHECK(fleet.meanBytesSentFar() / Seconds <= 600);
+    INFO(nodes << " nodes: " << fleet.meanBytesSentToOtherDataCenters() / Seconds
+               << " bytes a second");
+    CHECK(fleet.meanBytesSentToOtherDataCenters() / Seconds <= 600);
 }
 
 } // namespace
@@ -106,8 +107,8 @@
     peer_fleet fleet(350, DataCenters, 13);
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{5000});
-    INFO("most " << fleet.mostBytesSent() << ", mean " << fleet.meanBytesSent() << " bytes in 5 s");
-    CHECK(fleet.mostBytesSent() <= 350'000);
+    INFO("most " << fleet.maxBytesSent() << ", mean " << fleet.meanBytesSent() << " bytes in 5 s");
+    CHECK(fleet.maxBytesSent() <= 350'000);
     CHECK(fleet.meanBytesSent() <= 60'000);
 }
 
@@ -118,11 +119,11 @@
     peer_fleet fleet(nodes, DataCenters, 17);
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{20'000});
-    fleet.forgetTraffic();
+    fleet.resetTraffic();
     constexpr std::size_t Seconds = 5;
     fleet.run(milliseconds{1000 * Seconds});
     INFO(nodes << " nodes: " << fleet.meanBytesSent() / Seconds << " bytes a second, "
-               << fleet.meanBytesSentFar() / Seconds << " to other data centres");
+               << fleet.meanBytesSentToOtherDataCenters() / Seconds << " to other data centres");
     CHECK(fleet.meanBytesSent() / Seconds <= 1300);
 }
 
@@ -145,19 +146,19 @@
     peer_fleet fleet(240, DataCenters, 43);
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{15'000});
-    fleet.forgetTraffic();
+    fleet.resetTraffic();
     constexpr std::size_t Seconds = 6;
     constexpr std::size_t TurnsASecond = 10;
     // Each node has work in another data centre every three seconds.
     constexpr std::size_t Turn = 3 * TurnsASecond;
     for (std::size_t step = 0; step < TurnsASecond * Seconds; ++step) {
         for (std::size_t node = step % Turn; node < fleet.size(); node += Turn)
-            fleet.view(node).onUse(
+            fleet.view(node).onTraffic(
                 data_center_id("dc-" + std::to_string((node + 1 + step % 5) % DataCenters)));
         fleet.run(milliseconds{1000 / TurnsASecond});
     }
-    INFO(fleet.meanBytesSentFar() / Seconds << " bytes a second");
-    CHECK(fleet.meanBytesSentFar() / Seconds <= 2000);
+    INFO(fleet.meanBytesSentToOtherDataCenters() / Seconds << " bytes a second");
+    CHECK(fleet.meanBytesSentToOtherDataCenters() / Seconds <= 2000);
 }
 
 // All nodes of a data centre are down. Guards against every node contacting every failed member
@@ -181,9 +182,9 @@
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{10'000});
     REQUIRE(fleet.agreed());
-    fleet.cutOff(data_center_id("dc-0"));
+    fleet.partition(data_center_id("dc-0"));
     fleet.run(milliseconds{8000});
-    fleet.cutOff(std::nullopt);
+    fleet.partition(std::nullopt);
     const auto taken = fleet.runUntilAgreed(milliseconds{10'000});
     INFO("after " << taken.count() << " ms");
     CHECK(taken <= milliseconds{6000});
@@ -268,11 +269,11 @@
     auto &view = fleet.view(0);
     const pool_key pool{service_id("stage"), data_center_id("dc-1")};
     REQUIRE(view.find(view.hostOf(pool))->vm.dataCenter.value == "dc-1");
-    fleet.cutOff(data_center_id("dc-1"));
-    view.onUse(data_center_id("dc-1"));
+    fleet.partition(data_center_id("dc-1"));
+    view.onTraffic(data_center_id("dc-1"));
     fleet.run(milliseconds{900});
     CHECK(view.find(view.hostOf(pool))->vm.dataCenter.value == "dc-0");
-    fleet.cutOff(std::nullopt);
+    fleet.partition(std::nullopt);
     fleet.run(milliseconds{600});
     CHECK(view.find(view.hostOf(pool))->vm.dataCenter.value == "dc-1");
 }
@@ -294,7 +295,7 @@
         std::size_t frames = 0;
         std::vector<std::size_t> told{origin};
         for (std::size_t next = 0; next < told.size(); ++next) {
-            for (const auto &receiver : fleet.view(told[next]).newsReceivers()) {
+            for (const auto &receiver : fleet.view(told[next]).broadcastTargets()) {
                 ++frames;
                 if (steps.try_emplace(places.at(receiver), steps.at(told[next]) + 1).second)
                     told.push_back(places.at(receiver));
@@ -319,11 +320,11 @@
     const data_center_id cut("dc-1");
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{10'000}); // by then each node has received messages of each data centre
-    fleet.view(0).onUse(cut);
-    fleet.cutOff(cut);
+    fleet.view(0).onTraffic(cut);
+    fleet.partition(cut);
     fleet.run(milliseconds{1500});
-    INFO(nodes << " nodes, lost by " << fleet.nodesThatLost(cut));
-    CHECK(fleet.nodesThatLost(cut) == nodes - nodes / DataCenters);
+    INFO(nodes << " nodes, lost by " << fleet.countNodesWithLost(cut));
+    CHECK(fleet.countNodesWithLost(cut) == nodes - nodes / DataCenters);
 }
 
 // The fault may be the node's own link.
@@ -334,11 +335,11 @@
     const data_center_id unreached("dc-1");
     fleet.startAll(StartWindow);
     fleet.run(milliseconds{10'000});
-    fleet.view(0).onUse(unreached);
+    fleet.view(0).onTraffic(unreached);
     fleet.cut([&](std::size_t from, std::size_t to) {
         return (from != 0 || fleet.dataCenterOf(to) != unreached)
             && (to != 0 || fleet.dataCenterOf(from) != unreached);
     });
     fleet.run(milliseconds{3000});
-    CHECK(fleet.nodesThatLost(unreached) == 1);
+    CHECK(fleet.countNodesWithLost(unreached) == 1);
 }
--- a/tests/gateway/pool_widths_test.cpp
+++ b/tests/gateway/pool_splitter_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/servers/pool_widths.h"
+#include "gateway/servers/pool_splitter.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,7 +15,7 @@
 {
     manual_clock clock;
     server_directory directory{clock};
-    pool_widths widths{directory, {3, 2}};
+    pool_splitter widths{directory, {3, 2}};
 
     void put(const std::string &dataCenter, int first, int count, bool leaving = false)
     {
--- a/tests/gateway/prompt_home_test.cpp
+++ b/tests/gateway/prompt_affinity_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/placement/prompt_home.h"
+#include "gateway/placement/prompt_affinity.h"
 
 #include <catch2/catch.hpp>
 
@@ -31,15 +31,15 @@
 
 } // namespace
 
-TEST_CASE("a prompt's home depends on its deepest shared part alone")
+TEST_CASE("a prompt's preferred data centre depends on its deepest shared part alone")
 {
     const auto engines = makeEngines(4, 4);
     for (int i = 0; i < 50; ++i) {
         const auto session = "s" + std::to_string(i);
-        const auto home = homeOf(makePrompt(session, 3000), engines);
+        const auto preferred = preferredDataCenterOf(makePrompt(session, 3000), engines);
         auto other = makePrompt(session, 3000);
         other.back() = {"another", 900};
-        CHECK(homeOf(other, engines) == home);
+        CHECK(preferredDataCenterOf(other, engines) == preferred);
     }
 }
 
@@ -49,7 +49,7 @@
     std::map<std::string, int> homes;
     constexpr int Prompts = 2000;
     for (int i = 0; i < Prompts; ++i)
-        ++homes[homeOf(makePrompt("s" + std::to_string(i), 3000), engines)->value];
+        ++homes[preferredDataCenterOf(makePrompt("s" + std::to_string(i), 3000), engines)->value];
     CHECK(homes["a"] > Prompts * 7 / 10);
     CHECK(homes["a"] < Prompts * 8 / 10);
 }
@@ -63,15 +63,17 @@
     constexpr int Prompts = 1000;
     for (int i = 0; i < Prompts; ++i) {
         const auto prompt = makePrompt("s" + std::to_string(i), 3000);
-        moved += homeOf(prompt, engines) == homeOf(prompt, fewer) ? 0 : 1;
+        moved +=
+            preferredDataCenterOf(prompt, engines) == preferredDataCenterOf(prompt, fewer) ? 0 : 1;
     }
     CHECK(moved < Prompts / 10);
 }
 
-TEST_CASE("a prompt has no home if it shares few or no tokens, or if there are no engines")
+TEST_CASE("a prompt has no preferred data centre if it shares few or no tokens, or if there are no "
+          "engines")
 {
     const auto engines = makeEngines(2, 2);
-    CHECK_FALSE(homeOf(makePrompt("s", 900), engines));
-    CHECK_FALSE(homeOf({{"own", 5000}}, engines));
-    CHECK_FALSE(homeOf(makePrompt("s", 3000), {}));
+    CHECK_FALSE(preferredDataCenterOf(makePrompt("s", 900), engines));
+    CHECK_FALSE(preferredDataCenterOf({{"own", 5000}}, engines));
+    CHECK_FALSE(preferredDataCenterOf(makePrompt("s", 3000), {}));
 }
--- a/tests/gateway/rate_pace_test.cpp
+++ b/tests/gateway/rate_pacer_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/servers/rate_pace.h"
+#include "gateway/servers/rate_pacer.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 struct fixture
 {
     manual_clock clock;
-    rate_pace pace{clock};
+    rate_pacer pace{clock};
     server cold;
 
     fixture()
@@ -85,7 +85,7 @@
     other.record.id = backend_server_id("i-2");
     CHECK(f.pace.allows(other, 1.0));
     auto again = f.cold;
-    again.record.born = 77;
+    again.record.startedAt = 77;
     CHECK(f.pace.allows(again, 1.0));
 }
 
@@ -129,7 +129,7 @@
     f.cold.rateLimit = 2.0;
     const auto begin = f.clock.now();
     for (int i = 0; i < 4; ++i) {
-        CHECK(f.pace.nextAt(f.cold, 1.0) - begin == milliseconds{500} * i);
+        CHECK(f.pace.nextAllowedAt(f.cold, 1.0) - begin == milliseconds{500} * i);
         f.pace.onSent(f.cold, 1.0);
     }
 }
--- a/tests/gateway/rate_share_test.cpp
+++ b/tests/gateway/rate_share_test.cpp
@@ -1,5 +1,5 @@
 #include "bench/fleet/peer_fleet.h"
-#include "gateway/servers/rate_pace.h"
+#include "gateway/servers/rate_pacer.h"
 
 #include <catch2/catch.hpp>
 
@@ -149,7 +149,7 @@
             auto &pace = m_paces[node];
             if (!pace
                 || std::exchange(m_paceStarts[node], m_fleet.starts(node)) != m_fleet.starts(node))
-                pace = std::make_unique<rate_pace>(m_fleet.clock());
+                pace = std::make_unique<rate_pacer>(m_fleet.clock());
             for (std::size_t i = 0; i < m_servers.size(); ++i)
                 send(node, i);
         }
@@ -193,7 +193,7 @@
     peer_fleet m_fleet;
     std::vector<server> m_servers;
     std::vector<std::vector<double>> m_shares; ///< by node and server
-    std::vector<std::unique_ptr<rate_pace>> m_paces;
+    std::vector<std::unique_ptr<rate_pacer>> m_paces;
     std::vector<std::uint64_t> m_paceStarts; ///< by node: the start that its pacer is for
     std::vector<std::vector<steady_time>> m_arrivals; ///< by server
     std::vector<std::size_t> m_killed;
--- a/tests/gateway/relay_tree_test.cpp
+++ b/tests/gateway/relay_tree_test.cpp
@@ -27,7 +27,7 @@
 {
     std::map<vm_id, std::vector<vm_id>> sources;
     for (const auto &each : order)
-        sources[each] = placeInTree(each, order).sources;
+        sources[each] = positionInTree(each, order).sources;
     return sources;
 }
 
@@ -37,7 +37,7 @@
 {
     const auto order = makeOrder(10);
     for (const auto &each : order) {
-        const auto place = placeInTree(each, order);
+        const auto place = positionInTree(each, order);
         const bool reads = each == order[0] || each == order[1];
         INFO(each.value);
         CHECK(place.level == (reads ? 0 : 1));
@@ -56,7 +56,7 @@
     std::map<vm_id, std::size_t> followers;
     std::size_t deepest = 0;
     for (const auto &each : order) {
-        const auto place = placeInTree(each, order);
+        const auto place = positionInTree(each, order);
         deepest = std::max(deepest, place.level);
         for (const auto &source : place.sources)
             ++followers[source];
@@ -76,7 +76,7 @@
         return std::ranges::find(order, vm) - order.begin();
     };
     for (const auto &[vm, sources] : sourcesOfAll(order)) {
-        if (placeInTree(vm, order).level == 0)
+        if (positionInTree(vm, order).level == 0)
             continue;
         REQUIRE(sources.size() == 2);
         CHECK(sources[0] != sources[1]);
@@ -107,8 +107,8 @@
 TEST_CASE("a leaving node has sources and is not a reader")
 {
     const auto order = makeOrder(40);
-    const auto place = placeInTree(vm_id("leaving"), order);
+    const auto place = positionInTree(vm_id("leaving"), order);
     CHECK(place.level > 0);
     CHECK(place.sources.size() == 2);
-    CHECK(placeInTree(vm_id("leaving"), {}).sources.empty());
+    CHECK(positionInTree(vm_id("leaving"), {}).sources.empty());
 }
--- a/tests/gateway/request_quarantine_test.cpp
+++ b/tests/gateway/request_quarantine_test.cpp
@@ -22,9 +22,9 @@
 struct quarantine_world
 {
     /// Makes the record of another server that crashes now and was sent these requests at `sentAt`.
-    server_end makeCrash(const std::vector<request_digest> &requests, steady_time sentAt)
+    server_crash makeCrash(const std::vector<request_digest> &requests, steady_time sentAt)
     {
-        server_end crash{
+        server_crash crash{
             backend_server_id("s-" + std::to_string(++crashedServers)), clock.now(), {}};
         for (const auto &each : requests)
             crash.requests.push_back({each, sentAt});
@@ -33,12 +33,12 @@
     /// Crashes another server while these requests are in flight to it.
     std::vector<quarantine_entry> crashServer(const std::vector<request_digest> &requests)
     {
-        quarantine.onServerEnd(makeCrash(requests, clock.now() - milliseconds{150}));
+        quarantine.onServerCrash(makeCrash(requests, clock.now() - milliseconds{150}));
         return quarantine.decide();
     }
     [[nodiscard]] quarantine_level levelOf(const request_digest &request) const
     {
-        return quarantine.standingOf(request).level;
+        return quarantine.statusOf(request).level;
     }
     void pass(std::chrono::nanoseconds time)
     {
@@ -59,14 +59,14 @@
 {
     quarantine_world w;
     CHECK(w.crashServer({Crashing}).empty());
-    CHECK(w.levelOf(Crashing) == quarantine_level::Free);
+    CHECK(w.levelOf(Crashing) == quarantine_level::Unrestricted);
     w.pass(Apart);
     CHECK(w.crashServer({Crashing}).size() == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Suspected);
     w.pass(Apart);
     CHECK(w.crashServer({Crashing}).size() == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
-    CHECK(w.quarantine.standingOf(Crashing).left > std::chrono::minutes{4});
+    CHECK(w.quarantine.statusOf(Crashing).remaining > std::chrono::minutes{4});
     CHECK_FALSE(w.quarantine.tryStartTrial(Crashing));
 }
 
@@ -76,7 +76,7 @@
     for (int i = 0; i < 5; ++i)
         w.crashServer({Crashing});
     CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 1);
-    CHECK(w.levelOf(Crashing) == quarantine_level::Free);
+    CHECK(w.levelOf(Crashing) == quarantine_level::Unrestricted);
 }
 
 TEST_CASE("request_quarantine: crashes in quick succession count separately if the request ran on "
@@ -86,7 +86,7 @@
     for (int i = 0; i < 3; ++i) {
         const auto sentAt = w.clock.now() + milliseconds{1};
         w.pass(milliseconds{25});
-        w.quarantine.onServerEnd(w.makeCrash({Crashing}, sentAt));
+        w.quarantine.onServerCrash(w.makeCrash({Crashing}, sentAt));
     }
     CHECK(w.quarantine.decide().size() == 1);
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
@@ -99,7 +99,7 @@
     for (int i = 0; i < 5; ++i) {
         const auto sentAt = w.clock.now() + milliseconds{1};
         w.pass(milliseconds{5});
-        w.quarantine.onServerEnd(w.makeCrash({Crashing}, sentAt));
+        w.quarantine.onServerCrash(w.makeCrash({Crashing}, sentAt));
     }
     CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 1);
 }
@@ -107,17 +107,17 @@
 TEST_CASE("request_quarantine: a crash that several nodes report counts once")
 {
     quarantine_world w;
-    const server_end crash{backend_server_id("s"), w.clock.now(), {{Crashing, w.clock.now()}}};
-    CHECK(w.quarantine.onServerEnd(crash));
-    CHECK_FALSE(w.quarantine.onServerEnd(crash));
+    const server_crash crash{backend_server_id("s"), w.clock.now(), {{Crashing, w.clock.now()}}};
+    CHECK(w.quarantine.onServerCrash(crash));
+    CHECK_FALSE(w.quarantine.onServerCrash(crash));
     auto late = crash;
     late.at += milliseconds{200};
-    CHECK_FALSE(w.quarantine.onServerEnd(late));
+    CHECK_FALSE(w.quarantine.onServerCrash(late));
     CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 1);
     SECTION("but a server that restarts under the same id may crash again")
     {
         late.at += milliseconds{1500};
-        CHECK(w.quarantine.onServerEnd(late));
+        CHECK(w.quarantine.onServerCrash(late));
         CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 2);
     }
 }
@@ -125,12 +125,12 @@
 TEST_CASE("request_quarantine: crashes are not attributed to a request that is served elsewhere")
 {
     quarantine_world w;
-    CHECK_FALSE(w.quarantine.onServed(Crashing));
+    CHECK_FALSE(w.quarantine.onRequestServed(Crashing));
     for (int i = 0; i < 8; ++i) {
         w.pass(Apart);
         w.crashServer({Crashing});
     }
-    CHECK(w.levelOf(Crashing) == quarantine_level::Free);
+    CHECK(w.levelOf(Crashing) == quarantine_level::Unrestricted);
     SECTION("until it has not been served for a while")
     {
         w.pass(std::chrono::minutes{1});
@@ -149,10 +149,10 @@
     w.pass(Apart);
     w.crashServer({Crashing});
     REQUIRE(w.quarantine.tryStartTrial(Crashing));
-    const auto entry = w.quarantine.onServed(Crashing);
+    const auto entry = w.quarantine.onRequestServed(Crashing);
     REQUIRE(entry);
-    CHECK(entry->level == quarantine_level::Free);
-    CHECK(w.levelOf(Crashing) == quarantine_level::Free);
+    CHECK(entry->level == quarantine_level::Unrestricted);
+    CHECK(w.levelOf(Crashing) == quarantine_level::Unrestricted);
     CHECK(w.quarantine.evidenceOf(Crashing).crashCount == 0);
 }
 
@@ -191,7 +191,7 @@
     w.crashServer({unluckier, Crashing});
     CHECK(w.levelOf(unlucky) == quarantine_level::Suspected);
     CHECK(w.levelOf(unluckier) == quarantine_level::Suspected);
-    CHECK(w.levelOf(digestNumber(10)) == quarantine_level::Free);
+    CHECK(w.levelOf(digestNumber(10)) == quarantine_level::Unrestricted);
 }
 
 TEST_CASE(
@@ -200,12 +200,12 @@
     quarantine_world w;
     const auto unlucky = digestNumber(1);
     // The report of a node that the crashing request was in flight as well arrives late.
-    std::vector<server_end> crashes;
+    std::vector<server_crash> crashes;
     for (int i = 0; i < 3; ++i) {
         crashes.push_back({backend_server_id("s-" + std::to_string(i)),
                            w.clock.now(),
                            {{unlucky, w.clock.now()}}});
-        w.quarantine.onServerEnd(crashes.back());
+        w.quarantine.onServerCrash(crashes.back());
         CHECK(w.quarantine.decide().size() == (i == 0 ? 0 : 1));
         w.pass(Apart);
     }
@@ -213,7 +213,7 @@
     w.crashServer({Crashing});
     for (auto each : crashes) {
         each.requests = {{Crashing, each.at}};
-        w.quarantine.onServerEnd(each);
+        w.quarantine.onServerCrash(each);
     }
     CHECK(w.quarantine.decide().size() == 2);
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
@@ -227,7 +227,7 @@
         w.crashServer({Crashing});
         w.pass(Apart);
     }
-    const auto first = w.quarantine.standingOf(Crashing).left;
+    const auto first = w.quarantine.statusOf(Crashing).remaining;
     w.pass(first);
     CHECK(w.levelOf(Crashing) == quarantine_level::Suspected);
     CHECK(w.quarantine.tryStartTrial(Crashing));
@@ -235,7 +235,7 @@
     w.pass(Apart);
     w.crashServer({Crashing});
     CHECK(w.levelOf(Crashing) == quarantine_level::Quarantined);
-    CHECK(w.quarantine.standingOf(Crashing).left > first + std::chrono::minutes{3});
+    CHECK(w.quarantine.statusOf(Crashing).remaining > first + std::chrono::minutes{3});
 }
 
 TEST_CASE("request_quarantine: the later of two entries replaces the earlier one on every node")
@@ -250,10 +250,10 @@
     REQUIRE(taken);
     CHECK(other.levelOf(Crashing) == quarantine_level::Suspected);
     CHECK_FALSE(other.quarantine.merge(suspected.front()));
-    const auto served = other.quarantine.onServed(Crashing);
+    const auto served = other.quarantine.onRequestServed(Crashing);
     REQUIRE(served);
     CHECK(one.quarantine.merge(*served));
-    CHECK(one.levelOf(Crashing) == quarantine_level::Free);
+    CHECK(one.levelOf(Crashing) == quarantine_level::Unrestricted);
     CHECK_FALSE(one.quarantine.merge(suspected.front()));
 }
 
@@ -262,13 +262,13 @@
 {
     quarantine_world one;
     quarantine_world other;
-    CHECK_FALSE(other.quarantine.onServed(Crashing));
+    CHECK_FALSE(other.quarantine.onRequestServed(Crashing));
     one.crashServer({Crashing});
     one.pass(Apart);
     const auto suspected = one.crashServer({Crashing});
     const auto taken = other.quarantine.merge(suspected.front());
     REQUIRE(taken);
-    CHECK(taken->level == quarantine_level::Free);
+    CHECK(taken->level == quarantine_level::Unrestricted);
     CHECK(taken->version > suspected.front().version);
 }
 
--- a/tests/gateway/residency_test.cpp
+++ b/tests/gateway/residency_test.cpp
@@ -15,7 +15,7 @@
 TEST_CASE("requests without a restriction may be processed in any region")
 {
     const auto any = residencyOf({}, {});
-    CHECK_FALSE(any.bound());
+    CHECK_FALSE(any.restricted());
     CHECK(any.allows(North));
     CHECK(any.allows(region_id{}));
 }
@@ -23,7 +23,7 @@
 TEST_CASE("a region list of a route or of a customer restricts requests")
 {
     for (const auto &bound : {residencyOf({North}, {}), residencyOf({}, {North})}) {
-        CHECK(bound.bound());
+        CHECK(bound.restricted());
         CHECK(bound.allows(North));
         CHECK_FALSE(bound.allows(South));
         CHECK_FALSE(bound.allows(region_id{}));
@@ -36,7 +36,7 @@
     CHECK(both.allows(South));
     CHECK_FALSE(both.allows(North));
     const auto none = residencyOf({North}, {South});
-    CHECK(none.bound());
+    CHECK(none.restricted());
     CHECK_FALSE(none.allows(North));
     CHECK_FALSE(none.allows(South));
 }
--- a/tests/gateway/second_try_test.cpp
+++ b/tests/gateway/second_try_test.cpp
@@ -49,10 +49,10 @@
         m_clock.advance(interval);
         removeEnded();
         auto &node = *m_nodes[m_requests++ % Nodes];
-        server_wish wish;
-        wish.service = service_id("s");
-        for (std::uint32_t unsent = 0; unsent < MaxUnsent; ++unsent) {
-            const auto chosen = node.choose(wish);
+        server_query query;
+        query.service = service_id("s");
+        for (std::uint32_t unsent = 0; unsent < MaxUnsentAttempts; ++unsent) {
+            const auto chosen = node.choose(query);
             if (!chosen)
                 break;
             if (!m_ended.contains(chosen->record.id.value)) {
@@ -62,7 +62,7 @@
                 return;
             }
             node.onFailure(*chosen);
-            wish.exclude.push_back(chosen->record.id);
+            query.exclude.push_back(chosen->record.id);
         }
     }
 
@@ -132,28 +132,28 @@
 {
     manual_clock clock;
     server_directory directory(clock);
-    server_wish wish;
-    wish.service = service_id("s");
+    server_query query;
+    query.service = service_id("s");
     for (const auto *id : {"ended", "silent", "busy"}) {
         server_record record;
         record.id = backend_server_id(id);
-        record.service = wish.service;
+        record.service = query.service;
         record.slots = 4;
         directory.put(record);
     }
     const auto busy = directory.find(backend_server_id("busy"));
     directory.onAnswer(*busy);
     busy->outstanding = 3;
-    wish.exclude = {backend_server_id("ended")};
-    CHECK(directory.choose(wish)->record.id.value == "busy");
+    query.exclude = {backend_server_id("ended")};
+    CHECK(directory.choose(query)->record.id.value == "busy");
     SECTION("the busy server is full")
     {
         busy->outstanding = 5;
-        CHECK(directory.choose(wish)->record.id.value == "silent");
+        CHECK(directory.choose(query)->record.id.value == "silent");
     }
     SECTION("the response of the busy server is old")
     {
         clock.advance(milliseconds{5000});
-        CHECK(directory.choose(wish)->record.id.value == "silent");
+        CHECK(directory.choose(query)->record.id.value == "silent");
     }
 }
--- a/tests/gateway/server_end_observer_test.cpp
+++ b/tests/gateway/server_crash_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/quarantine/server_end_observer.h"
+#include "gateway/quarantine/server_crash_detector.h"
 
 #include <orchidlead/clock.h>
 
@@ -22,16 +22,16 @@
     "server_end_observer: one probe connection is opened for all broken connections of a server")
 {
     manual_clock clock;
-    server_end_observer observer(clock);
+    server_crash_detector observer(clock);
     const backend_server_id server("s");
     const auto began = clock.now();
-    CHECK(observer.onBroken(server, {digestNumber(1), clock.now()}));
+    CHECK(observer.onConnectionBroken(server, {digestNumber(1), clock.now()}));
     clock.advance(milliseconds{3});
-    CHECK_FALSE(observer.onBroken(server, {digestNumber(2), clock.now()}));
-    CHECK_FALSE(observer.onBroken(
+    CHECK_FALSE(observer.onConnectionBroken(server, {digestNumber(2), clock.now()}));
+    CHECK_FALSE(observer.onConnectionBroken(
         server, {digestNumber(2), clock.now()})); // another piece of the same request
-    CHECK(observer.onBroken(backend_server_id("other"), {digestNumber(3), clock.now()}));
-    const auto end = observer.onConnectOutcome(server);
+    CHECK(observer.onConnectionBroken(backend_server_id("other"), {digestNumber(3), clock.now()}));
+    const auto end = observer.onProbeResult(server);
     REQUIRE(end);
     CHECK(end->server.value == "s");
     CHECK(end->at == began);
@@ -42,10 +42,10 @@
 TEST_CASE("server_end_observer: a connection that breaks after a probe starts another probe")
 {
     manual_clock clock;
-    server_end_observer observer(clock);
+    server_crash_detector observer(clock);
     const backend_server_id server("s");
-    REQUIRE(observer.onBroken(server, {digestNumber(1), clock.now()}));
-    REQUIRE(observer.onConnectOutcome(server));
-    CHECK_FALSE(observer.onConnectOutcome(server));
-    CHECK(observer.onBroken(server, {digestNumber(1), clock.now()}));
+    REQUIRE(observer.onConnectionBroken(server, {digestNumber(1), clock.now()}));
+    REQUIRE(observer.onProbeResult(server));
+    CHECK_FALSE(observer.onProbeResult(server));
+    CHECK(observer.onConnectionBroken(server, {digestNumber(1), clock.now()}));
 }
--- a/tests/gateway/server_directory_test.cpp
+++ b/tests/gateway/server_directory_test.cpp
@@ -25,12 +25,12 @@
     return record;
 }
 
-server_wish wishFor(const std::string &dataCenter = "a")
+server_query wishFor(const std::string &dataCenter = "a")
 {
-    server_wish wish;
-    wish.service = service_id("s");
-    wish.near = data_center_id(dataCenter);
-    return wish;
+    server_query query;
+    query.service = service_id("s");
+    query.preferredDataCenter = data_center_id(dataCenter);
+    return query;
 }
 
 } // namespace
@@ -138,9 +138,9 @@
     manual_clock clock;
     server_directory directory(clock);
     directory.put(makeRecord("s1"));
-    auto wish = wishFor();
-    wish.exclude.push_back(backend_server_id("s1"));
-    CHECK(directory.choose(wish) == nullptr);
+    auto query = wishFor();
+    query.exclude.push_back(backend_server_id("s1"));
+    CHECK(directory.choose(query) == nullptr);
 }
 
 TEST_CASE("a reused address is resolved to its new server")
@@ -164,7 +164,8 @@
     server_directory directory(clock);
     directory.put(makeRecord("s1"));
     std::vector<bool> reported;
-    directory.onDoubt([&](const server &, bool avoided) { reported.push_back(avoided); });
+    directory.onAvoidanceChanged(
+        [&](const server &, bool avoided) { reported.push_back(avoided); });
     auto &only = *directory.find(backend_server_id("s1"));
     directory.onFailure(only);
     CHECK(reported.empty());
@@ -213,14 +214,14 @@
     auto &limited = *directory.find(backend_server_id("s1"));
     directory.onRateLimit(limited, {1.0});
     CHECK(directory.choose(wishFor())->record.id.value == "s2");
-    CHECK(directory.anyBounded(service_id("s"), {}));
-    CHECK_FALSE(directory.allBounded(service_id("s"), {}));
+    CHECK(directory.anyRateLimited(service_id("s"), {}));
+    CHECK_FALSE(directory.allRateLimited(service_id("s"), {}));
     directory.onRateLimit(limited, {}, clock.now() - milliseconds{1});
     CHECK(limited.rateLimit == 1.0);
     directory.onRateLimit(*directory.find(backend_server_id("s2")), {1.0});
-    CHECK(directory.allBounded(service_id("s"), {}));
+    CHECK(directory.allRateLimited(service_id("s"), {}));
     CHECK(directory.choose(wishFor()) == nullptr);
-    CHECK_FALSE(directory.allBounded(service_id("other"), {}));
+    CHECK_FALSE(directory.allRateLimited(service_id("other"), {}));
 }
 
 TEST_CASE("server_directory: a later start of a server gets fresh state")
@@ -228,38 +229,38 @@
     manual_clock clock;
     server_directory directory(clock);
     auto record = makeRecord("s1");
-    record.born = 1'000;
+    record.startedAt = 1'000;
     directory.put(record);
     const auto earlier = directory.find(record.id);
     earlier->gone = true;
     earlier->outstanding = 3;
-    earlier->slowness = 5.0;
+    earlier->latencyRatio = 5.0;
     directory.onFailure(*earlier);
     directory.onFailure(*earlier);
     REQUIRE(directory.choose(wishFor()) == nullptr);
-    record.born = 2'000;
+    record.startedAt = 2'000;
     directory.put(record);
     const auto later = directory.choose(wishFor());
     REQUIRE(later);
     CHECK(later != earlier);
     CHECK(later->outstanding == 0);
     CHECK(later->failures == 0);
-    CHECK(later->slowness == 1.0);
+    CHECK(later->latencyRatio == 1.0);
     SECTION("a late record of the earlier start is ignored")
     {
-        record.born = 1'000;
+        record.startedAt = 1'000;
         record.leaving = true;
         directory.put(record);
         CHECK(directory.choose(wishFor()) == later);
     }
     SECTION("a record without a start time updates the known start")
     {
-        record.born.reset();
+        record.startedAt.reset();
         record.leaving = true;
         directory.put(record);
         CHECK(directory.find(record.id) == later);
         CHECK(later->record.leaving);
-        CHECK(later->record.born == 2'000);
+        CHECK(later->record.startedAt == 2'000);
     }
 }
 
@@ -295,7 +296,7 @@
     manual_clock clock;
     server_directory directory(clock);
     auto record = makeRecord("s1");
-    record.born = 1000;
+    record.startedAt = 1000;
     directory.put(record);
     directory.onSignals(*directory.find(record.id), leaving());
     directory.put(record);
@@ -303,7 +304,7 @@
     directory.remove(record.id);
     directory.put(record);
     CHECK_FALSE(directory.find(record.id)->usable());
-    record.born = 2000;
+    record.startedAt = 2000;
     directory.put(record);
     CHECK(directory.find(record.id)->usable());
 }
@@ -313,7 +314,7 @@
     manual_clock clock;
     server_directory directory(clock);
     auto record = makeRecord("s1");
-    record.born = 1000;
+    record.startedAt = 1000;
     CHECK(directory.onPeerReportedLeaving(record.start()));
     CHECK_FALSE(directory.onPeerReportedLeaving(record.start()));
     directory.put(record);
@@ -324,7 +325,7 @@
     directory.put(record);
     // A start earlier than the known one.
     CHECK_FALSE(directory.onPeerReportedLeaving({record.id, 900}));
-    CHECK(directory.absenceOf(service_id("s"), residency{}) == server_absence::Leaving);
+    CHECK(directory.unavailabilityOf(service_id("s"), residency{}) == unavailability::Leaving);
 }
 
 TEST_CASE("an expired start that another node reports as leaving is leaving when published again")
@@ -371,7 +372,7 @@
     directory.onSignals(*only, refusal(milliseconds{100}));
     clock.advance(milliseconds{1699});
     CHECK(directory.choose(wishFor()) == nullptr);
-    CHECK(directory.passedOver(service_id("s"), {}) == std::vector{only->record.id});
+    CHECK(directory.excludedServers(service_id("s"), {}) == std::vector{only->record.id});
     clock.advance(milliseconds{1});
     CHECK(directory.choose(wishFor()) == only);
     CHECK_FALSE(directory.backoffOf(service_id("s"), {}));
@@ -395,20 +396,20 @@
     const auto only = directory.find(backend_server_id("s1"));
     directory.onSignals(*only, refusal(milliseconds{1000}));
     clock.advance(milliseconds{1000});
-    REQUIRE(only->takes(clock.now()));
+    REQUIRE(only->accepts(clock.now()));
     directory.onSending(*only);
-    CHECK_FALSE(only->takes(clock.now()));
+    CHECK_FALSE(only->accepts(clock.now()));
     SECTION("the request is accepted")
     {
         directory.onSignals(*only, taken());
-        CHECK(only->takes(clock.now()));
+        CHECK(only->accepts(clock.now()));
         directory.onSending(*only);
-        CHECK(only->takes(clock.now()));
+        CHECK(only->accepts(clock.now()));
     }
     SECTION("no response arrives")
     {
         clock.advance(milliseconds{500});
-        CHECK(only->takes(clock.now()));
+        CHECK(only->accepts(clock.now()));
     }
 }
 
@@ -419,7 +420,7 @@
     directory.put(makeRecord("s1"));
     directory.put(makeRecord("s2", "b"));
     const auto refusing = directory.find(backend_server_id("s1"));
-    std::vector<milliseconds> passedOver;
+    std::vector<milliseconds> excludedServers;
     for (int i = 0; i < 5; ++i) {
         directory.onSignals(*refusing, refusal());
         directory.onSignals(*refusing, refusal()); // sent at the same time
@@ -428,9 +429,9 @@
             clock.advance(milliseconds{10});
             time += milliseconds{10};
         }
-        passedOver.push_back(time);
+        excludedServers.push_back(time);
     }
-    CHECK(passedOver
+    CHECK(excludedServers
           == std::vector{milliseconds{60}, milliseconds{240}, milliseconds{960}, milliseconds{3840},
                          milliseconds{3840}});
     directory.onSignals(*refusing, taken());
--- a/tests/gateway/settings_test.cpp
+++ b/tests/gateway/settings_test.cpp
@@ -70,7 +70,8 @@
     const auto set =
         parseGatewaySettings(CompleteSettings + "without: [told_waits, split_pools]\n", "f");
     REQUIRE(set);
-    CHECK(set.value().without == policies_left_out{policy::SplitPools, policy::ToldWaits});
+    CHECK(set.value().disabledPolicies
+          == disabled_policies{policy::SplitPools, policy::ReportedWaits});
     const auto wrong = parseGatewaySettings(CompleteSettings + "without: [luck]\n", "f");
     REQUIRE_FALSE(wrong);
     CHECK(wrong.error().front().message().find("without") != std::string::npos);
--- a/tests/gateway/stage_pool_load_test.cpp
+++ b/tests/gateway/stage_pool_load_test.cpp
@@ -35,7 +35,7 @@
 {
     stage_rank rank;
     double perSecond = 0;
-    milliseconds aim{0};
+    milliseconds softDeadline{0};
 };
 
 /// Outcomes of the pieces of a rank.
@@ -91,7 +91,7 @@
     {
         stage_rank rank;
         steady_time at;
-        steady_time aim;
+        steady_time softDeadline;
     };
     struct running_call
     {
@@ -104,13 +104,13 @@
         const double mean = stream.perSecond * std::chrono::duration<double>(Step).count();
         const int count = std::poisson_distribution<int>(mean)(m_random);
         for (int i = 0; i < count; ++i) {
-            piece_job job;
+            piece_task job;
             job.token = ++m_lastToken;
             job.request.attempt = "r" + std::to_string(job.token);
             job.rank = stream.rank;
-            job.aim = m_clock.now() + stream.aim;
-            job.deadline = job.aim + milliseconds{4000};
-            m_submitted[job.token] = {job.rank, m_clock.now(), job.aim};
+            job.softDeadline = m_clock.now() + stream.softDeadline;
+            job.deadline = job.softDeadline + milliseconds{4000};
+            m_submitted[job.token] = {job.rank, m_clock.now(), job.softDeadline};
             ++m_rankCounts[job.rank].submitted;
             m_pool.submit(std::move(job));
         }
@@ -150,7 +150,7 @@
         if (std::holds_alternative<piece_failure>(outcome.result))
             rank_counts.refusedAfter.push_back(
                 std::chrono::duration_cast<milliseconds>(m_clock.now() - submitted.at));
-        else if (m_clock.now() <= submitted.aim)
+        else if (m_clock.now() <= submitted.softDeadline)
             ++rank_counts.inTime;
         else
             ++rank_counts.late;
@@ -158,7 +158,7 @@
 
     manual_clock m_clock;
     std::minstd_rand m_random;
-    retry_allowance m_allowance{m_clock, {0.0, 1000.0, milliseconds{10'000}}};
+    retry_budget m_allowance{m_clock, {0.0, 1000.0, milliseconds{10'000}}};
     stage_pool m_pool{m_clock, service_id("s"), m_allowance};
     std::vector<server_ptr> m_servers;
     std::vector<running_call> m_running;
@@ -197,7 +197,7 @@
         CHECK(emulator.of(Urgent).shareInTime() > 0.99);
         // 87 pieces per second less 40 urgent ones leave 47 for 117 others.
         CHECK(emulator.of(NonUrgent).shareInTime() > 0.35);
-        // Refusals are reported within the duration of a call, not after the aim has passed.
+        // Refusals are reported within the duration of a call, not after the soft deadline.
         CHECK(emulator.of(NonUrgent).medianRefusal() <= milliseconds{368});
     }
 }
