--- a/src/gateway/exchange/exchange.h
+++ b/src/gateway/exchange/exchange.h
@@ -6,7 +6,7 @@
 #include "gateway/exchange/latency_estimator.h"
 #include "gateway/exchange/request_log.h"
 #include "gateway/exchange/request_outcome.h"
-#include "gateway/exchange/retry_budget.h"
+#include "gateway/exchange/service_retry_budget.h"
 #include "gateway/gateway_metrics.h"
 #include "gateway/log_event.h"
 #include "gateway/placement/prompt_affinity.h"
@@ -40,7 +40,7 @@
     http::io_loop &loop;
     http::connection_pool &pool;
     server_directory &directory;
-    retry_budget &retryBudget;
+    service_retry_budget &retryBudget;
     peer_network &peers;
     stage_router<Codec> &stages;
     request_placer &placer;
--- a/src/gateway/exchange/retry_budget.cpp
+++ b/src/gateway/exchange/service_retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange/retry_budget.h"
+#include "gateway/exchange/service_retry_budget.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,19 +18,20 @@
 
 } // namespace
 
-retry_budget::retry_budget(const clock_source &clock, const retry_budget_options &options)
+service_retry_budget::service_retry_budget(const clock_source &clock,
+                                           const service_retry_budget_options &options)
     : m_clock(clock)
     , m_options(options)
 { }
 
-std::int64_t retry_budget::bucketIndex() const
+std::int64_t service_retry_budget::bucketIndex() const
 {
     const auto length = std::chrono::duration_cast<std::chrono::nanoseconds>(m_options.window)
         / static_cast<std::int64_t>(Buckets);
     return m_clock.now().time_since_epoch() / length;
 }
 
-retry_budget::bucket &retry_budget::currentBucket(const service_id &service)
+service_retry_budget::bucket &service_retry_budget::currentBucket(const service_id &service)
 {
     const auto now = bucketIndex();
     auto &found = m_services[service].ring[static_cast<std::size_t>(now) % Buckets];
@@ -39,7 +40,7 @@
     return found;
 }
 
-retry_budget::window_sum retry_budget::sum(const buckets &ring) const
+service_retry_budget::window_sum service_retry_budget::sum(const buckets &ring) const
 {
     const auto oldest = bucketIndex() - static_cast<std::int64_t>(Buckets);
     window_sum counted;
@@ -52,7 +53,7 @@
     return counted;
 }
 
-double retry_budget::limit(const window_sum &counted) const
+double service_retry_budget::limit(const window_sum &counted) const
 {
     const double reserve =
         m_options.reserve / static_cast<double>(std::max<std::size_t>(1, m_nodes));
@@ -62,7 +63,7 @@
 
 // If the limit were always rounded down, nothing would remain of a reserve with fewer retries than
 // there are nodes.
-double retry_budget::roundingOffset() const
+double service_retry_budget::roundingOffset() const
 {
     const std::chrono::duration<double> now = m_clock.now().time_since_epoch();
     const std::chrono::duration<double> window = m_options.window;
@@ -70,12 +71,12 @@
     return position - std::floor(position);
 }
 
-void retry_budget::onRequest(const service_id &service)
+void service_retry_budget::onRequest(const service_id &service)
 {
     ++currentBucket(service).requests;
 }
 
-bool retry_budget::tryAcquire(const service_id &service, std::uint32_t count)
+bool service_retry_budget::tryAcquire(const service_id &service, std::uint32_t count)
 {
     auto &newest = currentBucket(service);
     auto &state = m_services[service];
@@ -88,7 +89,7 @@
     return true;
 }
 
-std::map<service_id, retry_budget::usage> retry_budget::takeUsage()
+std::map<service_id, service_retry_budget::usage> service_retry_budget::takeUsage()
 {
     std::map<service_id, usage> all;
     for (auto &[service, state] : m_services) {
@@ -100,7 +101,7 @@
     return all;
 }
 
-void retry_budget::onForcedRetry(const service_id &service, std::uint32_t count)
+void service_retry_budget::onForcedRetry(const service_id &service, std::uint32_t count)
 {
     currentBucket(service).retries += count;
 }
--- a/src/gateway/exchange/retry_budget.h
+++ b/src/gateway/exchange/service_retry_budget.h
@@ -12,7 +12,7 @@
 namespace orchidlead::gateway {
 
 /// Limits on attempts beyond the first one of each request, across all nodes.
-struct retry_budget_options
+struct service_retry_budget_options
 {
     double share = 0.2; ///< retries per request for the service
     double reserve = 50.0; ///< retries per window in addition to the share
@@ -28,10 +28,10 @@
 /// by the number of nodes that may be running. The sum thus stays within the limit whether or not
 /// the nodes can communicate. A fraction of one retry becomes a whole retry for that fraction of
 /// the nodes, and these nodes change over time.
-class retry_budget
+class service_retry_budget
 {
 public:
-    retry_budget(const clock_source &clock, const retry_budget_options &options);
+    service_retry_budget(const clock_source &clock, const service_retry_budget_options &options);
 
     /// Sets the number of nodes among which the reserve is divided.
     void setNodes(std::size_t nodes) { m_nodes = nodes; }
@@ -84,7 +84,7 @@
     [[nodiscard]] std::int64_t bucketIndex() const;
 
     const clock_source &m_clock;
-    retry_budget_options m_options;
+    service_retry_budget_options m_options;
     std::size_t m_nodes = 1;
     std::unordered_map<service_id, service_usage> m_services;
 };
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -64,7 +64,7 @@
     gateway_metrics m_metrics;
     http::connection_pool m_pool;
     server_directory m_directory;
-    retry_budget m_retryBudget;
+    service_retry_budget m_retryBudget;
     log_rate_limiter m_logLimiter;
     stage_host<Codec> m_stages;
     peer_network m_peers;
@@ -88,7 +88,7 @@
     bool m_wasReady = false;
     steady_time m_nextSummary{};
     steady_time m_configurationSince{};
-    std::map<service_id, retry_budget::usage> m_retries; ///< as of the last summary
+    std::map<service_id, service_retry_budget::usage> m_retries; ///< as of the last summary
     bool m_stopping = false;
     steady_time m_stopBegan{};
 };
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -56,7 +56,7 @@
     return static_cast<std::uint32_t>(std::hash<std::string>{}(vm.value));
 }
 
-/// Returns the position of a VM in the turns of `retry_budget`, in [0, 1).
+/// Returns the position of a VM in the turns of `service_retry_budget`, in [0, 1).
 [[nodiscard]] inline double drawRotationOffset(const vm_id &vm)
 {
     std::mt19937 random(seedOf(vm));
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/exchange/request_outcome.h"
-#include "gateway/exchange/retry_budget.h"
+#include "gateway/exchange/service_retry_budget.h"
 #include "gateway/publication/configuration.h"
 #include "gateway/stages/stage_pool.h"
 
@@ -32,7 +32,7 @@
     std::size_t evacuatedDataCenters = 0;
     std::map<std::string, std::size_t> members; ///< by state, this node included
     std::map<service_id, std::size_t> waitingPieces; ///< in the pools hosted by this node
-    std::map<service_id, retry_budget::usage> retries;
+    std::map<service_id, service_retry_budget::usage> retries;
     std::uint64_t placements = 0; ///< requests on the placement board of this node
     milliseconds publishedAge{0}; ///< since the last answer of the store or of a peer reading it
     milliseconds configurationAge{0}; ///< since this node applied its current configuration
--- a/src/gateway/stages/stage_host.h
+++ b/src/gateway/stages/stage_host.h
@@ -27,7 +27,7 @@
     using piece_handler = std::function<void(piece_report)>;
 
     stage_host(http::io_loop &loop, http::connection_pool &pool, server_directory &directory,
-               retry_budget &retryBudget, wire::log &log, gateway_metrics &metrics);
+               service_retry_budget &retryBudget, wire::log &log, gateway_metrics &metrics);
 
     void setConfiguration(const configuration_ptr &configuration);
     /// Sets whether pieces wait for a server in the data centre of their inputs. Affects only pools
@@ -127,7 +127,7 @@
     http::io_loop &m_loop;
     http::connection_pool &m_pool;
     server_directory &m_directory;
-    retry_budget &m_retryBudget;
+    service_retry_budget &m_retryBudget;
     wire::log &m_log;
     gateway_metrics &m_metrics;
     configuration_ptr m_configuration;
--- a/src/gateway/stages/stage_host_impl.h
+++ b/src/gateway/stages/stage_host_impl.h
@@ -16,7 +16,7 @@
 
 template <gateway_codec Codec>
 stage_host<Codec>::stage_host(http::io_loop &loop, http::connection_pool &pool,
-                              server_directory &directory, retry_budget &retryBudget,
+                              server_directory &directory, service_retry_budget &retryBudget,
                               wire::log &log, gateway_metrics &metrics)
     : m_loop(loop)
     , m_pool(pool)
--- a/src/gateway/stages/stage_pool.cpp
+++ b/src/gateway/stages/stage_pool.cpp
@@ -59,7 +59,8 @@
 
 } // namespace
 
-stage_pool::stage_pool(const clock_source &clock, service_id service, retry_budget &retryBudget)
+stage_pool::stage_pool(const clock_source &clock, service_id service,
+                       service_retry_budget &retryBudget)
     : m_clock(clock)
     , m_service(std::move(service))
     , m_retryBudget(retryBudget)
--- a/src/gateway/stages/stage_pool.h
+++ b/src/gateway/stages/stage_pool.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/codec.h"
-#include "gateway/exchange/retry_budget.h"
+#include "gateway/exchange/service_retry_budget.h"
 #include "gateway/servers/server_directory.h"
 #include "gateway/stages/decaying_rate.h"
 #include "gateway/stages/stage_rank.h"
@@ -100,7 +100,7 @@
 class stage_pool
 {
 public:
-    stage_pool(const clock_source &clock, service_id service, retry_budget &retryBudget);
+    stage_pool(const clock_source &clock, service_id service, service_retry_budget &retryBudget);
 
     void setCapacity(const stage_capacity &capacity) { m_capacity = capacity; }
     void setWaitsForLocalServer(bool waits) { m_waitsForLocalServer = waits; }
@@ -203,7 +203,7 @@
 
     const clock_source &m_clock;
     service_id m_service;
-    retry_budget &m_retryBudget;
+    service_retry_budget &m_retryBudget;
     stage_capacity m_capacity;
     std::function<bool(const request_digest &)> m_mayRetry; ///< if empty, always
     bool m_waitsForLocalServer = true;
--- a/src/gateway/stages/stage_router.h
+++ b/src/gateway/stages/stage_router.h
@@ -26,7 +26,7 @@
     using piece_handler = typename stage_host<Codec>::piece_handler;
 
     stage_router(http::io_loop &loop, wire::log &log, peer_network &peers, stage_host<Codec> &host,
-                 server_directory &directory, retry_budget &retryBudget,
+                 server_directory &directory, service_retry_budget &retryBudget,
                  const gateway_settings &settings);
 
     /// Sets the function that returns whether this node has the list of servers and can host pools
@@ -105,7 +105,7 @@
     peer_network &m_peers;
     stage_host<Codec> &m_host;
     server_directory &m_directory;
-    retry_budget &m_retryBudget;
+    service_retry_budget &m_retryBudget;
     data_center_id m_dataCenter; ///< of this node
     std::function<bool()> m_prepared;
     stage_sharing m_sharing;
--- a/src/gateway/stages/stage_router_impl.h
+++ b/src/gateway/stages/stage_router_impl.h
@@ -28,7 +28,8 @@
 template <gateway_codec Codec>
 stage_router<Codec>::stage_router(http::io_loop &loop, wire::log &log, peer_network &peers,
                                   stage_host<Codec> &host, server_directory &directory,
-                                  retry_budget &retryBudget, const gateway_settings &settings)
+                                  service_retry_budget &retryBudget,
+                                  const gateway_settings &settings)
     : m_loop(loop)
     , m_log(log)
     , m_peers(peers)
--- a/tests/gateway/retry_budget_test.cpp
+++ b/tests/gateway/service_retry_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange/retry_budget.h"
+#include "gateway/exchange/service_retry_budget.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,7 +14,7 @@
 
 const service_id Service{"s"};
 
-int takeAllRetries(retry_budget &budget)
+int takeAllRetries(service_retry_budget &budget)
 {
     int taken = 0;
     while (budget.tryAcquire(Service))
@@ -27,7 +27,7 @@
 TEST_CASE("retry_allowance: allows a share of the requests plus a part of the reserve")
 {
     manual_clock clock;
-    retry_budget budget(clock, {0.2, 40.0, milliseconds{10'000}});
+    service_retry_budget budget(clock, {0.2, 40.0, milliseconds{10'000}});
     budget.setNodes(8);
     for (int i = 0; i < 100; ++i)
         budget.onRequest(Service);
@@ -40,7 +40,7 @@
 TEST_CASE("retry_allowance: a taken retry counts until the window has passed")
 {
     manual_clock clock;
-    retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
+    service_retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
     CHECK(takeAllRetries(budget) == 8);
     clock.advance(milliseconds{8'000});
     CHECK(takeAllRetries(budget) == 0);
@@ -54,7 +54,7 @@
     constexpr std::size_t Nodes = 6;
     int total = 0;
     for (std::size_t i = 0; i < Nodes; ++i) {
-        retry_budget budget(clock, {0.2, 52.0, milliseconds{10'000}});
+        service_retry_budget budget(clock, {0.2, 52.0, milliseconds{10'000}});
         budget.setNodes(Nodes);
         total += takeAllRetries(budget);
     }
@@ -64,7 +64,7 @@
 TEST_CASE("retry_allowance: forced retries use up the budget")
 {
     manual_clock clock;
-    retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
+    service_retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
     budget.onForcedRetry(Service, 20);
     CHECK_FALSE(budget.tryAcquire(Service));
 }
@@ -72,7 +72,7 @@
 TEST_CASE("retry_allowance: reports taken, left and denied retries per service")
 {
     manual_clock clock;
-    retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
+    service_retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
     CHECK(takeAllRetries(budget) == 8);
     const auto usage = budget.takeUsage();
     REQUIRE(usage.size() == 1);
@@ -95,10 +95,10 @@
     manual_clock clock;
     std::mt19937 random(1);
     std::uniform_real_distribution<double> uniform(0.0, 1.0);
-    std::vector<retry_budget> budgets;
+    std::vector<service_retry_budget> budgets;
     for (std::size_t i = 0; i < nodes; ++i) {
         budgets.emplace_back(
-            clock, retry_budget_options{Share, ReservePerWindow, Window, uniform(random)});
+            clock, service_retry_budget_options{Share, ReservePerWindow, Window, uniform(random)});
         budgets.back().setNodes(nodes);
     }
     std::deque<double> granted; // retries in each step of the last window
--- a/tests/gateway/stage_pool_load_test.cpp
+++ b/tests/gateway/stage_pool_load_test.cpp
@@ -158,7 +158,7 @@
 
     manual_clock m_clock;
     std::minstd_rand m_random;
-    retry_budget m_allowance{m_clock, {0.0, 1000.0, milliseconds{10'000}}};
+    service_retry_budget m_allowance{m_clock, {0.0, 1000.0, milliseconds{10'000}}};
     stage_pool m_pool{m_clock, service_id("s"), m_allowance};
     std::vector<server_ptr> m_servers;
     std::vector<running_call> m_running;
--- a/tests/gateway/stage_pool_test.cpp
+++ b/tests/gateway/stage_pool_test.cpp
@@ -27,7 +27,7 @@
 struct pool_fixture
 {
     manual_clock clock;
-    retry_budget retryBudget{clock, {0.0, 1000.0, milliseconds{10'000}}};
+    service_retry_budget retryBudget{clock, {0.0, 1000.0, milliseconds{10'000}}};
     stage_pool pool{clock, service_id("s"), retryBudget};
     std::vector<server_ptr> servers;
     piece_token lastToken = 0;
@@ -303,7 +303,7 @@
 TEST_CASE("sorting keeps a consistent order when a piece becomes late meanwhile")
 {
     const advancing_clock clock;
-    retry_budget retryBudget(clock, {0.0, 1000.0, milliseconds{10'000}});
+    service_retry_budget retryBudget(clock, {0.0, 1000.0, milliseconds{10'000}});
     const auto only = std::make_shared<server>();
     only->record.id = backend_server_id("s0");
     stage_capacity capacity = makeCapacity();
