--- a/tests/gateway/latency_estimator_test.cpp
+++ b/tests/gateway/latency_estimator_test.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("time_estimates: a stage takes at least one call")
+TEST_CASE("latency_estimator: a stage takes at least one call")
 {
     manual_clock clock;
     latency_estimator times(clock);
@@ -40,8 +40,8 @@
     CHECK(times.stageTime(&service, Pool, Urgent) == OneCall);
 }
 
-TEST_CASE(
-    "time_estimates: a measured backlog counts for requests of the same rank, for a limited time")
+TEST_CASE("latency_estimator: a measured backlog counts for requests of the same rank, for a "
+          "limited time")
 {
     manual_clock clock;
     clock.advance(std::chrono::seconds{60});
@@ -56,8 +56,8 @@
     CHECK(times.stageTime(&service, Pool, Patient) == OneCall);
 }
 
-TEST_CASE(
-    "time_estimates: the time after a stage covers later stages with their waits and the request")
+TEST_CASE("latency_estimator: the time after a stage covers later stages with their waits and the "
+          "request")
 {
     manual_clock clock;
     clock.advance(std::chrono::seconds{60});
@@ -113,7 +113,7 @@
 
 } // namespace
 
-TEST_CASE("time_estimates: a reported wait counts for its rank, minus the time since the report")
+TEST_CASE("latency_estimator: a reported wait counts for its rank, minus the time since the report")
 {
     staged_world world;
     const auto before = world.forecastFor(Patient).timeToAnswer;
@@ -126,7 +126,7 @@
     CHECK(world.forecastFor(Patient).timeToAnswer == before);
 }
 
-TEST_CASE("time_estimates: a stage has a backlog if its wait exceeds a call with a full batch")
+TEST_CASE("latency_estimator: a stage has a backlog if its wait exceeds a call with a full batch")
 {
     staged_world world;
     world.times.onReportedWait(Pool, Patient, milliseconds{300});
@@ -136,7 +136,7 @@
     CHECK_FALSE(world.forecastFor(Urgent).hasBacklog);
 }
 
-TEST_CASE("time_estimates: a skipped stage adds neither time nor a backlog")
+TEST_CASE("latency_estimator: a skipped stage adds neither time nor a backlog")
 {
     staged_world world;
     world.pieces = {0};
--- a/tests/gateway/request_log_test.cpp
+++ b/tests/gateway/request_log_test.cpp
@@ -25,7 +25,7 @@
     CHECK(out.str().find("number=0") < out.str().find("number=1"));
 }
 
-TEST_CASE("line_allowance: limits the lines of successful requests per second and counts the "
+TEST_CASE("log_rate_limiter: limits the lines of successful requests per second and counts the "
           "refused ones")
 {
     manual_clock clock;
--- a/tests/gateway/server_crash_detector_test.cpp
+++ b/tests/gateway/server_crash_detector_test.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 TEST_CASE(
-    "server_end_observer: one probe connection is opened for all broken connections of a server")
+    "server_crash_detector: one probe connection is opened for all broken connections of a server")
 {
     manual_clock clock;
     server_crash_detector observer(clock);
@@ -39,7 +39,7 @@
     CHECK(toText(end->requests[1].digest) == toText(digestNumber(2)));
 }
 
-TEST_CASE("server_end_observer: a connection that breaks after a probe starts another probe")
+TEST_CASE("server_crash_detector: a connection that breaks after a probe starts another probe")
 {
     manual_clock clock;
     server_crash_detector observer(clock);
--- a/tests/gateway/service_retry_budget_test.cpp
+++ b/tests/gateway/service_retry_budget_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("retry_allowance: allows a share of the requests plus a part of the reserve")
+TEST_CASE("service_retry_budget: allows a share of the requests plus a part of the reserve")
 {
     manual_clock clock;
     service_retry_budget budget(clock, {0.2, 40.0, milliseconds{10'000}});
@@ -37,7 +37,7 @@
     CHECK(taken >= 15);
 }
 
-TEST_CASE("retry_allowance: a taken retry counts until the window has passed")
+TEST_CASE("service_retry_budget: a taken retry counts until the window has passed")
 {
     manual_clock clock;
     service_retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
@@ -48,7 +48,7 @@
     CHECK(takeAllRetries(budget) == 8);
 }
 
-TEST_CASE("retry_allowance: nodes that don't communicate stay within the reserve together")
+TEST_CASE("service_retry_budget: nodes that don't communicate stay within the reserve together")
 {
     manual_clock clock;
     constexpr std::size_t Nodes = 6;
@@ -61,7 +61,7 @@
     CHECK(total <= 52);
 }
 
-TEST_CASE("retry_allowance: forced retries use up the budget")
+TEST_CASE("service_retry_budget: forced retries use up the budget")
 {
     manual_clock clock;
     service_retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
@@ -69,7 +69,7 @@
     CHECK_FALSE(budget.tryAcquire(Service));
 }
 
-TEST_CASE("retry_allowance: reports taken, left and denied retries per service")
+TEST_CASE("service_retry_budget: reports taken, left and denied retries per service")
 {
     manual_clock clock;
     service_retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
@@ -84,7 +84,8 @@
 
 // Guards against a reserve that no node can use: more nodes than retries in the reserve, and few
 // requests per node.
-TEST_CASE("retry_allowance: a reserve of less than one retry per node is used within the limit")
+TEST_CASE(
+    "service_retry_budget: a reserve of less than one retry per node is used within the limit")
 {
     const auto nodes = static_cast<std::size_t>(GENERATE(600, 1200, 2000));
     const auto requestsEach = milliseconds{GENERATE(1000, 8000)};
--- a/tests/gateway/stage_pool_load_test.cpp
+++ b/tests/gateway/stage_pool_load_test.cpp
@@ -158,8 +158,8 @@
 
     manual_clock m_clock;
     std::minstd_rand m_random;
-    service_retry_budget m_allowance{m_clock, {0.0, 1000.0, milliseconds{10'000}}};
-    stage_pool m_pool{m_clock, service_id("s"), m_allowance};
+    service_retry_budget m_retryBudget{m_clock, {0.0, 1000.0, milliseconds{10'000}}};
+    stage_pool m_pool{m_clock, service_id("s"), m_retryBudget};
     std::vector<server_ptr> m_servers;
     std::vector<running_call> m_running;
     std::map<piece_token, submitted_piece> m_submitted;
