--- a/src/gateway/exchange/exchange_attempts_impl.h
+++ b/src/gateway/exchange/exchange_attempts_impl.h
@@ -308,7 +308,7 @@
         logRetryDenied("attempts_used_up");
         return false;
     }
-    if (!m_context.retryBudget.tryTake(m_service)) {
+    if (!m_context.retryBudget.tryAcquire(m_service)) {
         logRetryDenied("budget_spent");
         return false;
     }
--- a/src/gateway/exchange/exchange_log_impl.h
+++ b/src/gateway/exchange/exchange_log_impl.h
@@ -166,7 +166,7 @@
 {
     if (!logsDecisions())
         return;
-    if (!succeededInTime(outcome) || m_context.logLimiter.tryTake(m_decisions.size()))
+    if (!succeededInTime(outcome) || m_context.logLimiter.tryAcquire(m_decisions.size()))
         m_decisions.write(m_context.log);
     auto line = lineOf(log_event::Request);
     line.add("outcome", toName(outcome));
--- a/src/gateway/exchange/request_log.cpp
+++ b/src/gateway/exchange/request_log.cpp
@@ -29,7 +29,7 @@
     , m_linesPerSecond(linesPerSecond)
 { }
 
-bool log_rate_limiter::tryTake(std::size_t lines)
+bool log_rate_limiter::tryAcquire(std::size_t lines)
 {
     const auto now = m_clock.now();
     if (now - m_secondStart >= std::chrono::seconds{1}) {
--- a/src/gateway/exchange/request_log.h
+++ b/src/gateway/exchange/request_log.h
@@ -33,7 +33,7 @@
 
     /// Reserves `lines` lines of the current second. Returns false and reserves none if they exceed
     /// the limit.
-    [[nodiscard]] bool tryTake(std::size_t lines);
+    [[nodiscard]] bool tryAcquire(std::size_t lines);
     /// Returns the number of lines that were refused since the last call.
     [[nodiscard]] std::uint64_t takeDroppedCount();
 
--- a/src/gateway/exchange/retry_budget.cpp
+++ b/src/gateway/exchange/retry_budget.cpp
@@ -75,7 +75,7 @@
     ++currentBucket(service).requests;
 }
 
-bool retry_budget::tryTake(const service_id &service, std::uint32_t count)
+bool retry_budget::tryAcquire(const service_id &service, std::uint32_t count)
 {
     auto &newest = currentBucket(service);
     auto &state = m_services[service];
--- a/src/gateway/exchange/retry_budget.h
+++ b/src/gateway/exchange/retry_budget.h
@@ -38,7 +38,7 @@
 
     void onRequest(const service_id &service);
     /// Takes `count` retries from the budget. Returns false and takes none if fewer are left.
-    [[nodiscard]] bool tryTake(const service_id &service, std::uint32_t count = 1);
+    [[nodiscard]] bool tryAcquire(const service_id &service, std::uint32_t count = 1);
     /// Counts retries that are made regardless of the limit.
     void onForcedRetry(const service_id &service, std::uint32_t count);
 
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -318,8 +318,9 @@
 template <gateway_codec Codec>
 void gateway<Codec>::onPublicationEvent(const publication_event &news)
 {
-    const auto level = news.kind == publication_event::what::Unreadable ? wire::log_level::Warning
-                                                                        : wire::log_level::Info;
+    const auto level = news.kind == publication_event::event_type::Unreadable
+        ? wire::log_level::Warning
+        : wire::log_level::Info;
     auto line = m_log.line(level, toName(news.kind));
     line.add("subject", news.subject).add("detail", news.detail);
     m_log.write(level, std::move(line));
--- a/src/gateway/peers/peer_frame_reader.cpp
+++ b/src/gateway/peers/peer_frame_reader.cpp
@@ -240,9 +240,9 @@
     placement_progress_frame frame;
     frame.id = in.read<placement_id>();
     const auto kind = in.read<std::uint64_t>();
-    if (kind > static_cast<std::uint64_t>(placement_progress_frame::what::Ended))
+    if (kind > static_cast<std::uint64_t>(placement_progress_frame::event_type::Ended))
         in.fail();
-    frame.kind = static_cast<placement_progress_frame::what>(kind);
+    frame.kind = static_cast<placement_progress_frame::event_type>(kind);
     frame.signals.rateLimit.readable = in.read<bool>();
     frame.signals.rateLimit.perSecond = readLimit(in);
     frame.signals.leaving = in.read<bool>();
@@ -388,11 +388,11 @@
 peer_frame readFrame(frame_kind kind, field_reader &in)
 {
     switch (kind) {
-    case frame_kind::Piece:
+    case frame_kind::SubmitPiece:
         return readPiece(in);
-    case frame_kind::Withdraw:
+    case frame_kind::CancelPiece:
         return cancel_piece_frame{in.read<piece_token>()};
-    case frame_kind::Outcome:
+    case frame_kind::PieceOutcome:
         return readOutcome(in);
     case frame_kind::Ping:
         return ping_frame{};
@@ -406,19 +406,19 @@
         return readPlace(in);
     case frame_kind::Placed:
         return readPlaced(in);
-    case frame_kind::Progress:
+    case frame_kind::PlacementProgress:
         return readProgress(in);
     case frame_kind::Follow:
         return readFollow(in);
-    case frame_kind::Compare:
+    case frame_kind::ListDigest:
         return readCompare(in);
     case frame_kind::ConfigurationRequest:
         return configuration_request{in.read<std::uint64_t>()};
     case frame_kind::Configuration:
         return readConfiguration(in);
-    case frame_kind::Free:
+    case frame_kind::FreeResults:
         return free_results_frame{in.read<std::vector<std::string>>()};
-    case frame_kind::ServerEnds:
+    case frame_kind::ServerCrashes:
         return readServerEnds(in);
     case frame_kind::Quarantine:
         return readQuarantine(in);
--- a/src/gateway/peers/peer_frame_writer.cpp
+++ b/src/gateway/peers/peer_frame_writer.cpp
@@ -89,7 +89,7 @@
 
 void pack(packer &out, const submit_piece_frame &frame)
 {
-    packKind(out, frame_kind::Piece, 17);
+    packKind(out, frame_kind::SubmitPiece, 17);
     out.pack(frame.token);
     packPool(out, frame.pool);
     out.pack(frame.request.attempt);
@@ -108,19 +108,19 @@
 
 void pack(packer &out, const free_results_frame &frame)
 {
-    packKind(out, frame_kind::Free, 1);
+    packKind(out, frame_kind::FreeResults, 1);
     out.pack(frame.handles);
 }
 
 void pack(packer &out, const cancel_piece_frame &frame)
 {
-    packKind(out, frame_kind::Withdraw, 1);
+    packKind(out, frame_kind::CancelPiece, 1);
     out.pack(frame.token);
 }
 
 void pack(packer &out, const piece_outcome_frame &frame)
 {
-    packKind(out, frame_kind::Outcome, 4);
+    packKind(out, frame_kind::PieceOutcome, 4);
     out.pack(frame.token);
     if (const auto *handle = std::get_if<std::string>(&frame.report.result)) {
         out.pack(SuccessCode);
@@ -179,7 +179,7 @@
 
 void pack(packer &out, const placement_progress_frame &frame)
 {
-    packKind(out, frame_kind::Progress, 7);
+    packKind(out, frame_kind::PlacementProgress, 7);
     out.pack(frame.id);
     out.pack(static_cast<std::uint64_t>(frame.kind));
     out.pack(frame.signals.rateLimit.readable);
@@ -277,7 +277,7 @@
 
 void pack(packer &out, const list_digest_frame &frame)
 {
-    packKind(out, frame_kind::Compare, 2);
+    packKind(out, frame_kind::ListDigest, 2);
     out.pack(frame.revision);
     out.pack(frame.known);
 }
@@ -300,7 +300,7 @@
 {
     constexpr std::uint32_t CrashFields = 3;
     constexpr std::uint32_t RequestFields = 2;
-    packKind(out, frame_kind::ServerEnds, 1);
+    packKind(out, frame_kind::ServerCrashes, 1);
     out.pack_array(CrashFields * static_cast<std::uint32_t>(frame.serverCrashes.size()));
     for (const auto &crash : frame.serverCrashes) {
         out.pack(crash.server.value);
--- a/src/gateway/peers/peer_frames.h
+++ b/src/gateway/peers/peer_frames.h
@@ -74,9 +74,9 @@
 /// Reports the progress of a request that the receiver placed.
 struct placement_progress_frame
 {
-    enum class what : std::uint8_t { FirstToken, Ended };
+    enum class event_type : std::uint8_t { FirstToken, Ended };
     placement_id id = 0; ///< chosen by the sender
-    what kind = what::Ended;
+    event_type kind = event_type::Ended;
     /// Signals of the answer that has just arrived, without those meant for its receiver alone.
     server_signals signals = NoSignals;
 };
--- a/src/gateway/placement/request_placer.cpp
+++ b/src/gateway/placement/request_placer.cpp
@@ -161,7 +161,7 @@
     if (!entry.placed)
         return;
     if (const auto link = std::exchange(entry.link, nullptr))
-        link->send(placement_progress_frame{id, placement_progress_frame::what::Ended});
+        link->send(placement_progress_frame{id, placement_progress_frame::event_type::Ended});
     complete(entry, placeOnBoard(id, entry.query));
 }
 
@@ -208,7 +208,7 @@
 
 // Signals are sent to the host only once.
 void request_placer::sendProgress(placement_id id, pending_placement &entry,
-                                  placement_progress_frame::what kind)
+                                  placement_progress_frame::event_type kind)
 {
     entry.link->send(placement_progress_frame{id, kind, std::exchange(entry.signals, NoSignals)});
 }
@@ -219,7 +219,7 @@
     if (found == m_pending.end())
         return;
     if (found->second.link)
-        sendProgress(id, found->second, placement_progress_frame::what::FirstToken);
+        sendProgress(id, found->second, placement_progress_frame::event_type::FirstToken);
     else
         m_board.onFirstToken(id);
 }
@@ -233,7 +233,7 @@
         return;
     m_loop.cancelTimer(found->second.timer);
     if (found->second.link)
-        sendProgress(id, found->second, placement_progress_frame::what::Ended);
+        sendProgress(id, found->second, placement_progress_frame::event_type::Ended);
     else
         m_board.onEnd(id);
     m_pending.erase(found);
@@ -290,7 +290,7 @@
     const auto server = m_directory.find(found->second.server.id);
     if (server && server->record.start() == found->second.server)
         m_directory.onSignals(*server, frame.signals);
-    if (frame.kind == placement_progress_frame::what::FirstToken) {
+    if (frame.kind == placement_progress_frame::event_type::FirstToken) {
         m_board.onFirstToken(found->second.localId);
         return;
     }
--- a/src/gateway/placement/request_placer.h
+++ b/src/gateway/placement/request_placer.h
@@ -101,7 +101,7 @@
     /// Records whether the host reports that all servers of a pool are rate-limited.
     void recordAllRateLimited(const pool_key &pool, bool allRateLimited);
     void sendProgress(placement_id id, pending_placement &entry,
-                      placement_progress_frame::what kind);
+                      placement_progress_frame::event_type kind);
     void onPlaced(const placed_frame &frame);
     void onPlaceRequest(const link_ptr &link, const place_frame &frame);
     void onAdmissionRequest(const link_ptr &link, const admission_request &frame);
--- a/src/gateway/publication/published_state.cpp
+++ b/src/gateway/publication/published_state.cpp
@@ -18,7 +18,7 @@
 template <class... Handlers>
 overloaded(Handlers...) -> overloaded<Handlers...>;
 
-using what = publication_event::what;
+using event_type = publication_event::event_type;
 
 // Up to this many events of one kind in an update are reported one by one.
 constexpr std::size_t MaxSeparateEvents = 24;
@@ -27,7 +27,7 @@
 // servers that a node reads at its start would cause as many log lines.
 std::vector<publication_event> summarized(std::vector<publication_event> events)
 {
-    std::map<what, std::size_t> counts;
+    std::map<event_type, std::size_t> counts;
     for (const auto &each : events)
         ++counts[each.kind];
     std::erase_if(counts, [](const auto &entry) { return entry.second <= MaxSeparateEvents; });
@@ -69,7 +69,7 @@
                    [&](const published_configuration &each) { applyConfiguration(each, events); },
                    [&](const published_evacuation &each) { applyEvacuation(each, events); },
                    [&](const unreadable_item &each) {
-                       events.push_back({what::Unreadable, each.key, each.what});
+                       events.push_back({event_type::Unreadable, each.key, each.what});
                    },
                },
                item);
@@ -112,12 +112,12 @@
     const bool wasCold = known && known->cold(m_clock.now());
     m_directory.put(record, announced.coldTimeLeft);
     if (!known)
-        events.push_back({what::ServerAdded, record.id.value, record.service.value});
+        events.push_back({event_type::ServerAdded, record.id.value, record.service.value});
     if (announced.coldTimeLeft > milliseconds{0} && !wasCold)
-        events.push_back({what::ServerCold, record.id.value,
+        events.push_back({event_type::ServerCold, record.id.value,
                           "for " + std::to_string(announced.coldTimeLeft.count()) + " ms"});
     if (record.leaving && !wasLeaving)
-        events.push_back({what::ServerLeaving, record.id.value, record.service.value});
+        events.push_back({event_type::ServerLeaving, record.id.value, record.service.value});
 }
 
 void published_state::applyRemoval(const backend_server_id &id,
@@ -128,12 +128,12 @@
         return;
     if (m_clock.now() < m_deferUntil) {
         if (m_deferred.emplace(id, m_deferUntil).second)
-            events.push_back({what::RemovalDeferred, id.value, known->record.service.value});
+            events.push_back({event_type::RemovalDeferred, id.value, known->record.service.value});
         return;
     }
     m_deferred.erase(id);
     m_directory.remove(id);
-    events.push_back({what::ServerRemoved, id.value, known->record.service.value});
+    events.push_back({event_type::ServerRemoved, id.value, known->record.service.value});
 }
 
 void published_state::applyConfiguration(const published_configuration &published,
@@ -142,12 +142,12 @@
     const auto version = published.content.version;
     if (m_configuration && version <= m_configuration->version()) {
         if (version < m_configuration->version())
-            events.push_back({what::ConfigurationOlder, std::to_string(version), {}});
+            events.push_back({event_type::ConfigurationOlder, std::to_string(version), {}});
         return;
     }
     m_configuration = std::make_shared<const configuration_index>(published.content);
     m_configurationText = published.text;
-    events.push_back({what::ConfigurationInForce, std::to_string(version),
+    events.push_back({event_type::ConfigurationInForce, std::to_string(version),
                       std::to_string(published.content.routes.size()) + " routes"});
     if (m_onConfiguration)
         m_onConfiguration(m_configuration);
@@ -190,17 +190,17 @@
                                     std::vector<publication_event> &events)
 {
     const auto &list = m_evacuations.list();
-    const auto report = [&](what kind, const data_center_id &dataCenter) {
-        m_directory.setEvacuated(dataCenter, kind == what::DataCenterEvacuated);
+    const auto report = [&](event_type kind, const data_center_id &dataCenter) {
+        m_directory.setEvacuated(dataCenter, kind == event_type::DataCenterEvacuated);
         events.push_back({kind, dataCenter.value, "revision " + std::to_string(list.revision)});
     };
     for (const auto &each : list.dataCenters) {
         if (!before.contains(each))
-            report(what::DataCenterEvacuated, each);
+            report(event_type::DataCenterEvacuated, each);
     }
     for (const auto &each : before) {
         if (!list.dataCenters.contains(each))
-            report(what::DataCenterReturned, each);
+            report(event_type::DataCenterReturned, each);
     }
 }
 
@@ -236,7 +236,7 @@
             return false;
         if (const auto known = m_directory.find(id)) {
             m_directory.remove(id);
-            events.push_back({what::ServerRemoved, id.value, known->record.service.value});
+            events.push_back({event_type::ServerRemoved, id.value, known->record.service.value});
         }
         return true;
     });
--- a/src/gateway/publication/published_state.h
+++ b/src/gateway/publication/published_state.h
@@ -16,7 +16,7 @@
 /// An effect of an update of the published state, for the log.
 struct publication_event
 {
-    enum class what {
+    enum class event_type {
         ConfigurationInForce,
         ConfigurationOlder, ///< older than the version in force; ignored
         Unreadable, ///< the previous state is kept
@@ -28,7 +28,7 @@
         DataCenterEvacuated, ///< its servers get no new work
         DataCenterReturned, ///< its servers get new work again
     };
-    what kind = what::Unreadable;
+    event_type kind = event_type::Unreadable;
     std::string subject; ///< version, server, data centre or key; or a count of them
     std::string detail;
 };
@@ -123,26 +123,32 @@
 } // namespace orchidlead::gateway
 
 template <>
-inline constexpr std::array orchidlead::enumNames<orchidlead::gateway::publication_event::what>{
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::ConfigurationInForce,
-        "configuration_in_force"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::ConfigurationOlder, "configuration_older"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::Unreadable, "publication_unreadable"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::ServerAdded, "server_added"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::ServerCold, "server_cold"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::ServerLeaving, "server_leaving"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::ServerRemoved, "server_removed"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::RemovalDeferred, "server_removal_deferred"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::DataCenterEvacuated, "data_center_evacuated"},
-    orchidlead::enum_name<orchidlead::gateway::publication_event::what>{
-        orchidlead::gateway::publication_event::what::DataCenterReturned, "data_center_returned"},
-};
+inline constexpr std::array
+    orchidlead::enumNames<orchidlead::gateway::publication_event::event_type>{
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::ConfigurationInForce,
+            "configuration_in_force"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::ConfigurationOlder,
+            "configuration_older"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::Unreadable,
+            "publication_unreadable"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::ServerAdded, "server_added"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::ServerCold, "server_cold"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::ServerLeaving, "server_leaving"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::ServerRemoved, "server_removed"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::RemovalDeferred,
+            "server_removal_deferred"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::DataCenterEvacuated,
+            "data_center_evacuated"},
+        orchidlead::enum_name<orchidlead::gateway::publication_event::event_type>{
+            orchidlead::gateway::publication_event::event_type::DataCenterReturned,
+            "data_center_returned"},
+    };
--- a/src/gateway/servers/server_directory.cpp
+++ b/src/gateway/servers/server_directory.cpp
@@ -63,8 +63,8 @@
 std::optional<effective_rate_limit> server::effectiveRateLimit(steady_time now) const
 {
     std::optional<effective_rate_limit> found;
-    if (cold(now) && coldStart.rate > 0)
-        found = effective_rate_limit{ColdRateShare * coldStart.rate};
+    if (cold(now) && coldStart.requestsPerSecond > 0)
+        found = effective_rate_limit{ColdRateShare * coldStart.requestsPerSecond};
     if (!rateLimit)
         return found;
     const double limit = std::max(*rateLimit, MinRateLimit);
@@ -185,8 +185,8 @@
     updateServersIn(dataCenter, [&](server &each) {
         const bool reopened = std::exchange(each.evacuated, evacuated) && !evacuated;
         if (reopened)
-            each.coldUntil =
-                std::max(each.coldUntil, now + std::min(each.coldStart.time, ColdReportDelay));
+            each.coldUntil = std::max(each.coldUntil,
+                                      now + std::min(each.coldStart.coldDuration, ColdReportDelay));
     });
 }
 
--- a/src/gateway/stages/stage_pool.cpp
+++ b/src/gateway/stages/stage_pool.cpp
@@ -317,7 +317,7 @@
     const auto tries = job.mayChangePool ? TriesBeforePoolChange : MaxTries;
     if (callEnd == stage_call_end::NotSent && job.tries >= tries)
         out.push_back({job.token, piece_failure::ServersUnreachable});
-    else if (suspected || job.tries >= MaxTries || !(unsent || m_retryBudget.tryTake(m_service)))
+    else if (suspected || job.tries >= MaxTries || !(unsent || m_retryBudget.tryAcquire(m_service)))
         out.push_back({job.token, piece_failure::Error});
     else
         m_waiting.push_back(std::move(job));
--- a/tests/gateway/log_event_test.cpp
+++ b/tests/gateway/log_event_test.cpp
@@ -37,6 +37,6 @@
     const auto page = readPage();
     REQUIRE_FALSE(page.empty());
     checkNames<log_event>(page);
-    checkNames<publication_event::what>(page);
+    checkNames<publication_event::event_type>(page);
     checkNames<request_outcome>(page);
 }
--- a/tests/gateway/peer_frames_test.cpp
+++ b/tests/gateway/peer_frames_test.cpp
@@ -207,15 +207,15 @@
     CHECK(placed.wait == milliseconds{70});
     CHECK(placed.allRateLimited);
     const auto silent =
-        roundTrip(placement_progress_frame{3, placement_progress_frame::what::Ended});
+        roundTrip(placement_progress_frame{3, placement_progress_frame::event_type::Ended});
     CHECK_FALSE(silent.signals.rateLimit.readable);
     server_signals signals;
     signals.rateLimit.perSecond = 2.5;
     signals.leaving = true;
     signals.refused = true;
     signals.retryAfter = milliseconds{300};
-    const auto progress =
-        roundTrip(placement_progress_frame{3, placement_progress_frame::what::FirstToken, signals});
+    const auto progress = roundTrip(
+        placement_progress_frame{3, placement_progress_frame::event_type::FirstToken, signals});
     CHECK(progress.signals.leaving);
     CHECK(progress.signals.refused);
     CHECK_FALSE(progress.signals.taken);
@@ -223,8 +223,9 @@
     CHECK_FALSE(progress.signals.retryAfter);
     CHECK(progress.signals.rateLimit.readable);
     CHECK(progress.signals.rateLimit.perSecond == 2.5);
-    CHECK_FALSE(roundTrip(placement_progress_frame{3, placement_progress_frame::what::Ended, {}})
-                    .signals.rateLimit.perSecond);
+    CHECK_FALSE(
+        roundTrip(placement_progress_frame{3, placement_progress_frame::event_type::Ended, {}})
+            .signals.rateLimit.perSecond);
 }
 
 TEST_CASE("admission frames keep the rank of the request and the retry time of the answer")
--- a/tests/gateway/published_state_test.cpp
+++ b/tests/gateway/published_state_test.cpp
@@ -41,7 +41,7 @@
     }
 };
 
-bool contains(const std::vector<publication_event> &events, publication_event::what kind)
+bool contains(const std::vector<publication_event> &events, publication_event::event_type kind)
 {
     return std::ranges::any_of(events, [&](const auto &each) { return each.kind == kind; });
 }
@@ -53,7 +53,7 @@
     world w;
     w.state.apply({makeConfiguration(7)});
     const auto events = w.state.apply({makeConfiguration(5)});
-    CHECK(contains(events, publication_event::what::ConfigurationOlder));
+    CHECK(contains(events, publication_event::event_type::ConfigurationOlder));
     CHECK(w.state.current()->version() == 7);
     w.state.apply({makeConfiguration(9)});
     CHECK(w.state.current()->version() == 9);
@@ -65,7 +65,7 @@
     world w;
     w.state.apply({makeConfiguration(7)});
     const auto events = w.state.apply({unreadable_item{"configuration", "no version"}});
-    CHECK(contains(events, publication_event::what::Unreadable));
+    CHECK(contains(events, publication_event::event_type::Unreadable));
     CHECK(w.state.current()->version() == 7);
 }
 
@@ -110,7 +110,7 @@
     world w;
     w.state.apply({makeServer("s1")});
     const auto events = w.state.apply({makeServer("s1", true)});
-    CHECK(contains(events, publication_event::what::ServerLeaving));
+    CHECK(contains(events, publication_event::event_type::ServerLeaving));
     CHECK_FALSE(w.directory.find(backend_server_id("s1"))->usable());
 }
 
@@ -137,9 +137,9 @@
     many.emplace_back(makeConfiguration(7));
     const auto events = w.state.applyList(many);
     REQUIRE(events.size() == 2);
-    CHECK(contains(events, publication_event::what::ConfigurationInForce));
+    CHECK(contains(events, publication_event::event_type::ConfigurationInForce));
     CHECK(std::ranges::any_of(events, [](const auto &each) {
-        return each.kind == publication_event::what::ServerAdded && each.subject == "500";
+        return each.kind == publication_event::event_type::ServerAdded && each.subject == "500";
     }));
     CHECK(w.directory.all().size() == 500);
     CHECK(w.state.apply({makeServer("t1"), makeServer("t2")}).size() == 2);
--- a/tests/gateway/rate_pacer_test.cpp
+++ b/tests/gateway/rate_pacer_test.cpp
@@ -21,7 +21,7 @@
         cold.record.id = backend_server_id("i-1");
         cold.record.service = service_id("s");
         cold.coldUntil = clock.now() + std::chrono::seconds{60};
-        cold.coldStart.rate = RatePerSecond;
+        cold.coldStart.requestsPerSecond = RatePerSecond;
     }
     /// Sends requests for this time whenever the pacer allows it; returns how many were sent.
     int sendFor(milliseconds time, double share)
@@ -72,7 +72,7 @@
     f.cold.coldUntil = f.clock.now();
     CHECK(f.pace.allows(f.cold, 0.0));
     f.cold.coldUntil = f.clock.now() + std::chrono::seconds{60};
-    f.cold.coldStart.rate = 0.0;
+    f.cold.coldStart.requestsPerSecond = 0.0;
     CHECK(f.pace.allows(f.cold, 0.0));
 }
 
--- a/tests/gateway/rate_share_test.cpp
+++ b/tests/gateway/rate_share_test.cpp
@@ -89,7 +89,7 @@
             if (capacity.limited) {
                 each.rateLimit = capacity.rate;
             } else {
-                each.coldStart.rate = capacity.rate;
+                each.coldStart.requestsPerSecond = capacity.rate;
                 each.coldUntil = m_fleet.clock().now() + 2 * End;
             }
             m_servers.push_back(std::move(each));
--- a/tests/gateway/request_log_test.cpp
+++ b/tests/gateway/request_log_test.cpp
@@ -31,12 +31,12 @@
     manual_clock clock;
     clock.advance(std::chrono::seconds{5});
     log_rate_limiter lines(clock, 10);
-    CHECK(lines.tryTake(6));
-    CHECK_FALSE(lines.tryTake(6));
-    CHECK(lines.tryTake(4));
-    CHECK_FALSE(lines.tryTake(1));
+    CHECK(lines.tryAcquire(6));
+    CHECK_FALSE(lines.tryAcquire(6));
+    CHECK(lines.tryAcquire(4));
+    CHECK_FALSE(lines.tryAcquire(1));
     CHECK(lines.takeDroppedCount() == 7);
     CHECK(lines.takeDroppedCount() == 0);
     clock.advance(std::chrono::seconds{1});
-    CHECK(lines.tryTake(10));
+    CHECK(lines.tryAcquire(10));
 }
--- a/tests/gateway/retry_budget_test.cpp
+++ b/tests/gateway/retry_budget_test.cpp
@@ -14,10 +14,10 @@
 
 const service_id Service{"s"};
 
-int takeAllRetries(retry_budget &allowance)
+int takeAllRetries(retry_budget &budget)
 {
     int taken = 0;
-    while (allowance.tryTake(Service))
+    while (budget.tryAcquire(Service))
         ++taken;
     return taken;
 }
@@ -27,11 +27,11 @@
 TEST_CASE("retry_allowance: allows a share of the requests plus a part of the reserve")
 {
     manual_clock clock;
-    retry_budget allowance(clock, {0.2, 40.0, milliseconds{10'000}});
-    allowance.setNodes(8);
+    retry_budget budget(clock, {0.2, 40.0, milliseconds{10'000}});
+    budget.setNodes(8);
     for (int i = 0; i < 100; ++i)
-        allowance.onRequest(Service);
-    const int taken = takeAllRetries(allowance);
+        budget.onRequest(Service);
+    const int taken = takeAllRetries(budget);
     INFO("taken " << taken);
     CHECK(taken <= 20 + 5);
     CHECK(taken >= 15);
@@ -40,12 +40,12 @@
 TEST_CASE("retry_allowance: a taken retry counts until the window has passed")
 {
     manual_clock clock;
-    retry_budget allowance(clock, {0.0, 10.0, milliseconds{10'000}});
-    CHECK(takeAllRetries(allowance) == 8);
+    retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
+    CHECK(takeAllRetries(budget) == 8);
     clock.advance(milliseconds{8'000});
-    CHECK(takeAllRetries(allowance) == 0);
+    CHECK(takeAllRetries(budget) == 0);
     clock.advance(milliseconds{3'000});
-    CHECK(takeAllRetries(allowance) == 8);
+    CHECK(takeAllRetries(budget) == 8);
 }
 
 TEST_CASE("retry_allowance: nodes that don't communicate stay within the reserve together")
@@ -54,9 +54,9 @@
     constexpr std::size_t Nodes = 6;
     int total = 0;
     for (std::size_t i = 0; i < Nodes; ++i) {
-        retry_budget allowance(clock, {0.2, 52.0, milliseconds{10'000}});
-        allowance.setNodes(Nodes);
-        total += takeAllRetries(allowance);
+        retry_budget budget(clock, {0.2, 52.0, milliseconds{10'000}});
+        budget.setNodes(Nodes);
+        total += takeAllRetries(budget);
     }
     CHECK(total <= 52);
 }
@@ -64,22 +64,22 @@
 TEST_CASE("retry_allowance: forced retries use up the budget")
 {
     manual_clock clock;
-    retry_budget allowance(clock, {0.0, 10.0, milliseconds{10'000}});
-    allowance.onForcedRetry(Service, 20);
-    CHECK_FALSE(allowance.tryTake(Service));
+    retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
+    budget.onForcedRetry(Service, 20);
+    CHECK_FALSE(budget.tryAcquire(Service));
 }
 
 TEST_CASE("retry_allowance: reports taken, left and denied retries per service")
 {
     manual_clock clock;
-    retry_budget allowance(clock, {0.0, 10.0, milliseconds{10'000}});
-    CHECK(takeAllRetries(allowance) == 8);
-    const auto usage = allowance.takeUsage();
+    retry_budget budget(clock, {0.0, 10.0, milliseconds{10'000}});
+    CHECK(takeAllRetries(budget) == 8);
+    const auto usage = budget.takeUsage();
     REQUIRE(usage.size() == 1);
     CHECK(usage.at(Service).taken == 8);
     CHECK(usage.at(Service).left == 0.0);
     CHECK(usage.at(Service).denied == 1);
-    CHECK(allowance.takeUsage().at(Service).denied == 0);
+    CHECK(budget.takeUsage().at(Service).denied == 0);
 }
 
 // Guards against a reserve that no node can use: more nodes than retries in the reserve, and few
@@ -95,11 +95,11 @@
     manual_clock clock;
     std::mt19937 random(1);
     std::uniform_real_distribution<double> uniform(0.0, 1.0);
-    std::vector<retry_budget> allowances;
+    std::vector<retry_budget> budgets;
     for (std::size_t i = 0; i < nodes; ++i) {
-        allowances.emplace_back(
+        budgets.emplace_back(
             clock, retry_budget_options{Share, ReservePerWindow, Window, uniform(random)});
-        allowances.back().setNodes(nodes);
+        budgets.back().setNodes(nodes);
     }
     std::deque<double> granted; // retries in each step of the last window
     std::size_t totalRequests = 0;
@@ -110,9 +110,9 @@
         for (std::size_t i = 0; i < nodes; ++i) {
             if ((now + i * Step) % requestsEach != milliseconds{0})
                 continue;
-            allowances[i].onRequest(Service);
+            budgets[i].onRequest(Service);
             ++totalRequests;
-            grantedNow += allowances[i].tryTake(Service) ? 1 : 0;
+            grantedNow += budgets[i].tryAcquire(Service) ? 1 : 0;
         }
         totalGranted += static_cast<std::size_t>(grantedNow);
         granted.push_back(grantedNow);
--- a/tests/gateway/stage_pool_test.cpp
+++ b/tests/gateway/stage_pool_test.cpp
@@ -27,8 +27,8 @@
 struct pool_fixture
 {
     manual_clock clock;
-    retry_budget allowance{clock, {0.0, 1000.0, milliseconds{10'000}}};
-    stage_pool pool{clock, service_id("s"), allowance};
+    retry_budget retryBudget{clock, {0.0, 1000.0, milliseconds{10'000}}};
+    stage_pool pool{clock, service_id("s"), retryBudget};
     std::vector<server_ptr> servers;
     piece_token lastToken = 0;
 
@@ -213,7 +213,7 @@
 TEST_CASE("a failed piece is reported when the retry budget is used up")
 {
     pool_fixture w;
-    while (w.allowance.tryTake(service_id("s")))
+    while (w.retryBudget.tryAcquire(service_id("s")))
         ;
     w.submit("r1", 0, milliseconds{2000});
     const auto call = w.pool.nextCall(w.servers);
@@ -225,7 +225,7 @@
 TEST_CASE("a call that wasn't sent is retried without using the retry budget")
 {
     pool_fixture w;
-    while (w.allowance.tryTake(service_id("s")))
+    while (w.retryBudget.tryAcquire(service_id("s")))
         ;
     w.submit("r1", 0, milliseconds{2000});
     const auto call = w.pool.nextCall(w.servers);
@@ -303,7 +303,7 @@
 TEST_CASE("sorting keeps a consistent order when a piece becomes late meanwhile")
 {
     const advancing_clock clock;
-    retry_budget allowance(clock, {0.0, 1000.0, milliseconds{10'000}});
+    retry_budget retryBudget(clock, {0.0, 1000.0, milliseconds{10'000}});
     const auto only = std::make_shared<server>();
     only->record.id = backend_server_id("s0");
     stage_capacity capacity = makeCapacity();
@@ -314,7 +314,7 @@
     constexpr std::array<std::uint32_t, 7> Priorities{0, 5, 5, 5, 5, 5, 1};
     constexpr int Moments = 150;
     for (int moment = 0; moment < Moments; ++moment) {
-        stage_pool pool(clock, service_id("s"), allowance);
+        stage_pool pool(clock, service_id("s"), retryBudget);
         pool.setCapacity(capacity);
         const auto begin = clock.now();
         for (std::size_t i = 0; i < Priorities.size(); ++i) {
