--- a/src/gateway/codec.h
+++ b/src/gateway/codec.h
@@ -26,8 +26,8 @@
 /// Consistency of a read from the store.
 enum class read_consistency {
     Latest,
-    MayBeStale, ///< stale by seconds; costs a tenth and does not count against the store's rate
-                ///< limit
+    MayBeStale, ///< stale by seconds; costs the store a tenth of a read of the latest state and
+                ///< does not count against the store's rate limit
 };
 
 /// Metadata of a client's request.
@@ -42,14 +42,15 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t answerTokens = 0; ///< upper limit
     std::vector<std::uint32_t> pieceCounts; ///< per stage
-    std::string pieceKey; ///< input key of the pieces of stages without inputs
+    std::string pieceKey; ///< what the pieces of first stages are computed from, which have no
+                          ///< results of other stages as inputs
     std::uint32_t reservedFields = 0; ///< fields that only the system may set; sent to no server
 };
 
 /// Metadata that the gateway sends to a server with a request.
 struct forwarded_metadata
 {
-    milliseconds clientTimeout{0}; ///< remaining time
+    milliseconds clientTimeout{0}; ///< time left until the client gives up
     backend_server_id instance; ///< intended server; any other server must refuse the request
     customer_id customer;
     std::optional<std::uint32_t> priority;
@@ -74,8 +75,8 @@
     std::uint32_t piece = 0; ///< index from 0
     std::optional<milliseconds>
         clientTimeout; ///< the server does not start the piece after this time
-    std::string key; ///< for stages without inputs
-    std::vector<std::string> inputs; ///< result handles
+    std::string key; ///< `pieceKey`, for first stages only
+    std::vector<std::string> inputs; ///< result handles; empty for first stages
     request_digest digest{}; ///< of the client's request; sent between nodes only, not to servers
 };
 
@@ -83,7 +84,7 @@
 enum class piece_failure {
     Late, ///< the client timeout of the piece has passed
     InputGone,
-    NoRoom,
+    NoRoom, ///< the server had no room for the result
     Error,
     Evacuated, ///< the servers of the pool get no new work: their data centre is evacuated
     ServersLeaving, ///< the servers of the pool are leaving
@@ -187,7 +188,7 @@
         Codec::readPieces(text)
         } -> std::same_as<result<std::vector<piece_result>, codec_error>>;
     {
-        Codec::freePath()
+        Codec::freeResultsPath()
         } -> std::same_as<std::string_view>;
     {
         Codec::writeHandles(handles)
--- a/src/gateway/exchange/event_splitter.h
+++ b/src/gateway/exchange/event_splitter.h
@@ -19,8 +19,9 @@
         : m_maxEventBytes(maxEventBytes)
     { }
 
-    /// Adds bytes and returns the events that are complete now, without events up to the last one
-    /// returned before. The text is valid until the next call.
+    /// Adds bytes and returns the events that are complete now. Leaves out events whose number is
+    /// not above that of the last returned event, since the stream of another server may repeat
+    /// them. The text is valid until the next call.
     [[nodiscard]] std::string_view feed(std::string_view bytes);
 
     /// Prepares for the stream of another server: drops a partial event. Events up to the last one
--- a/src/gateway/exchange/exchange.h
+++ b/src/gateway/exchange/exchange.h
@@ -115,8 +115,8 @@
     [[nodiscard]] data_center_id choosePreferredDataCenter();
     /// Returns the engines that the request may use: those of the own region if there are any.
     [[nodiscard]] std::vector<server_ptr> preferredEngines() const;
-    /// Does the same as `choosePreferredDataCenter` if this node's data centre has no servers for
-    /// the request.
+    /// The part of `choosePreferredDataCenter` for requests that have no usable servers in this
+    /// node's data centre.
     [[nodiscard]] data_center_id chooseRemoteDataCenter();
     /// Returns `dataCenter` if it has usable servers of the service, else the preferred data centre
     /// of the request, which is chosen again if it has no usable servers either.
@@ -250,7 +250,7 @@
     forwarding_mode m_forwarding = forwarding_mode::Nothing;
     http::response_head m_answer;
     response_metadata m_responseMetadata;
-    std::string m_buffered;
+    std::string m_bufferedAnswer;
     event_splitter m_splitter;
     bool m_headSent = false; ///< a response head was sent to the client
     steady_time m_attemptStartedAt{};
--- a/src/gateway/exchange/exchange_answers_impl.h
+++ b/src/gateway/exchange/exchange_answers_impl.h
@@ -53,11 +53,11 @@
     case forwarding_mode::Nothing:
         break;
     case forwarding_mode::Buffered:
-        m_buffered.append(bytes);
-        if (m_buffered.size() > MaxBufferedAnswer) {
+        m_bufferedAnswer.append(bytes);
+        if (m_bufferedAnswer.size() > MaxBufferedAnswer) {
             m_forwarding = forwarding_mode::Bytes;
             beginAnswer();
-            m_client->write(std::exchange(m_buffered, {}));
+            m_client->write(std::exchange(m_bufferedAnswer, {}));
             applyBackpressure();
         }
         break;
--- a/src/gateway/exchange/exchange_attempts_impl.h
+++ b/src/gateway/exchange/exchange_attempts_impl.h
@@ -142,7 +142,7 @@
     ++m_server->outstanding;
     m_forwarding = forwarding_mode::Nothing;
     m_serverIneligible = false;
-    m_buffered.clear();
+    m_bufferedAnswer.clear();
     m_attemptStartedAt = m_context.loop.now();
     m_answerStartedAt.reset();
     const auto self = this->shared_from_this();
@@ -284,7 +284,7 @@
         return;
     }
     m_clientStatus = m_answer.status;
-    m_client->respond(m_answer.status, http::forwardedFields(m_answer.fields), m_buffered);
+    m_client->respond(m_answer.status, http::forwardedFields(m_answer.fields), m_bufferedAnswer);
     finish(m_answer.status < status::FirstServerError ? request_outcome::Answered
                                                       : request_outcome::Failed);
 }
--- a/src/gateway/exchange/retry_budget.cpp
+++ b/src/gateway/exchange/retry_budget.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Fraction of the limit that is used, because the limit holds in a sliding window and the buckets
-// don't slide.
-constexpr double UsedFraction = 0.8;
+// Fraction of the retry budget that a node uses, because the budget is a limit in a sliding window
+// and the buckets don't slide.
+constexpr double UsedFractionOfBudget = 0.8;
 // Number of windows in which the rounding offset of a node goes through its whole range. In one
 // window, both the nodes that start to round up and those that stop may use the extra retry, which
 // adds one retry for every 64 nodes.
@@ -56,7 +56,7 @@
 {
     const double reserve =
         m_options.reserve / static_cast<double>(std::max<std::size_t>(1, m_nodes));
-    return std::floor(UsedFraction * (m_options.share * counted.requests + reserve)
+    return std::floor(UsedFractionOfBudget * (m_options.share * counted.requests + reserve)
                       + roundingOffset());
 }
 
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -142,7 +142,7 @@
     m_directory.setSelf(m_settings.vm);
     m_directory.setRegions(m_settings.regions);
     m_stages.setRateShare([this](const pool_key &pool) { return m_peers.rateShare(pool); });
-    m_router.setReadinessCheck([this] { return m_state.hasServerList(); });
+    m_router.setHostReadyCheck([this] { return m_state.hasServerList(); });
     m_stages.setWaitsForLocalServer(
         !m_settings.disabledPolicies.contains(policy::WaitForLocalServer));
     m_stages.setQuarantineCallbacks(
@@ -154,11 +154,11 @@
         m_stages.onServersChanged(service);
         m_router.onServersChanged(service);
     });
-    m_directory.setBackoffSpread([this] {
+    m_directory.setBackoffJitter([this] {
         return std::uniform_real_distribution<double>(0.0, MaxBackoffSpread)(m_context.random);
     });
     m_follower.onRead([this](const store_update &news) { m_relay.onStoreUpdate(news); });
-    m_directory.onContact([this](const data_center_id &from) {
+    m_directory.onDataCenterAnswered([this](const data_center_id &from) {
         m_peers.onTraffic(from);
         m_peers.onServerResponse(from);
     });
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -22,7 +22,7 @@
 // Pieces per call; published batch sizes go up to 54 so far.
 const prometheus::Histogram::BucketBoundaries pieceBuckets{1, 2, 4, 8, 16, 32, 64};
 
-// Limits of series per family. A site has 5 services so far, and up to some hundred routes at
+// Limits of series per family. A deployment has 5 services so far, and up to some hundred routes at
 // times.
 constexpr std::size_t MaxServices = 32;
 constexpr std::size_t MaxRouteRows = 256;
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -33,7 +33,8 @@
     std::map<std::string, std::size_t> members; ///< by state, this node included
     std::map<service_id, std::size_t> waitingPieces; ///< in the pools hosted by this node
     std::map<service_id, retry_budget::usage> retries;
-    std::uint64_t placements = 0; ///< requests on the placement board of this node
+    std::uint64_t placements = 0; ///< requests that this node placed on servers, for itself or
+                                  ///< other nodes, and that have not ended
     milliseconds publishedAge{0}; ///< since the last answer of the store or of a peer reading it
     milliseconds configurationAge{0}; ///< since this node applied its current configuration
     std::uint64_t serverConnections = 0; ///< connections to servers opened since the start
--- a/src/gateway/log_event.h
+++ b/src/gateway/log_event.h
@@ -14,7 +14,7 @@
     StageSubmitted, ///< the pieces of a stage were submitted to the host of its service
     StagesDone, ///< all pieces have results
     PieceFailed, ///< a piece has no result; its request fails or restarts its stages
-    TurnAnswered, ///< when and where servers with rate limits have room for a request
+    TurnAnswered, ///< where, and after which wait, a request is sent because of rate limits
     AttemptSent, ///< a request was sent to a server
     AttemptEnded, ///< outcome of an attempt
     RetryDenied, ///< why a request is not retried at another server
@@ -44,7 +44,7 @@
     ServerEnded, ///< connections broke during requests, and a new connection is refused
     ConnectionsLost, ///< connections broke during answers, and a new connection is not refused
     QuarantineChanged, ///< quarantine level of a request suspected of crashing servers
-    TrialAnswered, ///< whether a suspected request may be sent to one server
+    TrialAnswered, ///< whether a request suspected of crashing servers may be sent to one server
     RetryBudgetSpent, ///< retries denied by a service's retry budget within a second
     LinesLeftOut, ///< lines about successful requests above the limit per second
     ReloadIgnored, ///< settings take effect only at the next start
--- a/src/gateway/peers/data_center_reachability.cpp
+++ b/src/gateway/peers/data_center_reachability.cpp
@@ -18,8 +18,8 @@
 // Membership probes are further apart than these limits, so a node that has work in the data centre
 // sends probes of its own. A round trip takes a few milliseconds, up to 40 ms between regions. A
 // data centre is considered lost after four rounds with seven probes in all, and two connection
-// attempts, have had no answer. At 20% packet loss that is a false alarm about once in some
-// thousand cases.
+// attempts, have had no answer. At 20% packet loss, a reachable data centre is falsely considered
+// lost in about one of several thousand such sequences of probes.
 constexpr probe_schedule ActiveSchedule{milliseconds{150}, milliseconds{250}, milliseconds{500},
                                         milliseconds{100}};
 // Without work in the data centre, slower detection is enough. It still takes place, so that the
@@ -29,8 +29,8 @@
 // Interval of the probes to a lost data centre.
 constexpr milliseconds LostProbeInterval{300};
 // Nodes probed per round: one in the first round, since most nodes answer, more in later rounds.
-constexpr std::size_t FirstProbeCount = 1;
-constexpr std::size_t RepeatProbeCount = 2;
+constexpr std::size_t ProbesInFirstRound = 1;
+constexpr std::size_t ProbesPerRepeatRound = 2;
 // How long this node counts as having work in a data centre after the last request or answer.
 // Answers arrive, or begin to arrive, within this time.
 constexpr milliseconds ActivityTimeout{2000};
@@ -100,7 +100,8 @@
         if (now < known.nextProbe)
             continue;
         known.nextProbe = now + (known.lost ? LostProbeInterval : times.probeInterval);
-        const auto count = std::exchange(known.probed, true) ? RepeatProbeCount : FirstProbeCount;
+        const auto count =
+            std::exchange(known.probed, true) ? ProbesPerRepeatRound : ProbesInFirstRound;
         events.push_back({dataCenter, reachability_event_type::ProbePeers, count});
         if (silent >= times.probeServersAfter)
             events.push_back({dataCenter, reachability_event_type::ProbeServers});
--- a/src/gateway/peers/peer_frame_reader.cpp
+++ b/src/gateway/peers/peer_frame_reader.cpp
@@ -156,9 +156,9 @@
         query.prompt.push_back({std::move(id), items.read<std::uint32_t>()});
     });
     query.exclude = readNames<std::vector<backend_server_id>>(in);
-    const bool bound = in.read<bool>();
+    const bool isRestricted = in.read<bool>(); // to some regions
     auto regions = readNames<std::set<region_id>>(in);
-    if (bound)
+    if (isRestricted)
         query.allowed = residency(std::move(regions));
     return query;
 }
--- a/src/gateway/peers/peer_frames.h
+++ b/src/gateway/peers/peer_frames.h
@@ -48,7 +48,8 @@
     piece_report report;
 };
 
-/// Releases stage results that are no longer needed; the receiver hosts their service.
+/// Releases stage results that are no longer needed; the receiver hosts the stage pool of the
+/// servers that hold them.
 struct free_results_frame
 {
     std::vector<std::string> handles;
@@ -151,7 +152,7 @@
 /// the revision, then to each change. Without `begins`, ends the subscription.
 struct follow_frame
 {
-    bool begins = false;
+    bool begins = false; ///< whether the subscription begins
     std::uint64_t revision = 0; ///< store revision up to which the sender knows all changes
     list_digest known{}; ///< digest of the servers that the sender knows
 };
--- a/src/gateway/peers/peer_view.cpp
+++ b/src/gateway/peers/peer_view.cpp
@@ -38,7 +38,7 @@
 // one.
 constexpr milliseconds DiscoveryTime{2000};
 // Rendezvous hash key for the order of nodes that read the store or relay publications.
-constexpr std::string_view RelayRoleKey = "store reader";
+constexpr std::string_view StoreReaderRoleKey = "store reader";
 // Broadcast relays per data centre: when one of them fails, the other one still relays.
 constexpr std::size_t BroadcastRelays = 2;
 // Smallest number of high-capacity nodes that hosts are picked from.
@@ -134,18 +134,18 @@
 void peer_view::contactSilentMembers(membership_actions &out)
 {
     std::vector<socket_address> silent = m_identity.firstContacts;
-    bool alone = true;
+    bool isolated = true;
     for (const auto &each : m_members.members()) {
         if (each.vm.vm == self())
             continue;
         const bool heard = each.state == member_state::Alive || each.state == member_state::Leaving;
-        alone = alone && !heard;
+        isolated = isolated && !heard;
         if (heard)
             std::erase(silent, each.vm.peerAddress);
         else if (std::ranges::find(silent, each.vm.peerAddress) == silent.end())
             silent.push_back(each.vm.peerAddress);
     }
-    m_nextContact = m_clock.now() + (alone ? IsolatedContactInterval : ContactInterval);
+    m_nextContact = m_clock.now() + (isolated ? IsolatedContactInterval : ContactInterval);
     m_members.contact(takeRoundRobin(silent, MaxContactsPerRound, m_nextContactIndex), out);
 }
 
@@ -271,7 +271,7 @@
 {
     if (m_relayOrder.empty()) {
         const auto nodes = candidates(m_identity.dataCenter);
-        m_relayOrder = rendezvousPick(RelayRoleKey, idsOf(nodes), nodes.size());
+        m_relayOrder = rendezvousPick(StoreReaderRoleKey, idsOf(nodes), nodes.size());
         std::map<vm_id, std::uint32_t> capacities;
         for (const auto &each : nodes)
             capacities.emplace(each.vm, each.capacity);
@@ -283,7 +283,8 @@
 
 std::vector<vm_id> peer_view::broadcastRelaysIn(const data_center_id &dataCenter) const
 {
-    return rendezvousPick(RelayRoleKey, highestCapacityOf(candidates(dataCenter)), BroadcastRelays);
+    return rendezvousPick(StoreReaderRoleKey, highestCapacityOf(candidates(dataCenter)),
+                          BroadcastRelays);
 }
 
 const std::vector<vm_id> &peer_view::broadcastTargets()
--- a/src/gateway/placement/placement_board.cpp
+++ b/src/gateway/placement/placement_board.cpp
@@ -25,8 +25,8 @@
 constexpr std::chrono::seconds PlacementLifetime{60};
 // Share of the published capacity that an engine can use for cached prompts; running requests take
 // the rest.
-constexpr double CachedCapacityShare = 0.7;
-// Used if the service publishes no capacity.
+constexpr double CacheShareOfCapacity = 0.7;
+// Prompt tokens that an engine is assumed to hold if its service publishes no capacity.
 constexpr std::uint64_t DefaultCapacityTokens = 200'000;
 
 } // namespace
@@ -210,7 +210,7 @@
             state.cachedTokens += part.tokens;
     }
     const auto limit =
-        static_cast<std::uint64_t>(CachedCapacityShare * static_cast<double>(capacity));
+        static_cast<std::uint64_t>(CacheShareOfCapacity * static_cast<double>(capacity));
     while (state.cachedTokens > limit && !state.parts.empty()) {
         const auto oldest = std::ranges::min_element(
             state.parts, {}, [](const auto &entry) { return entry.second.lastUsed; });
--- a/src/gateway/placement/placement_board.h
+++ b/src/gateway/placement/placement_board.h
@@ -19,8 +19,8 @@
 
 using placement_id = std::uint64_t;
 
-/// A request to be placed on a server by the host of its pool: a model engine, or a server of a
-/// pool with rate-limited servers.
+/// A request that the host of its pool is to place on a server. The server is a model engine or
+/// belongs to a pool with rate-limited servers.
 struct placement_query
 {
     pool_key pool;
--- a/src/gateway/placement/pool_admission.cpp
+++ b/src/gateway/placement/pool_admission.cpp
@@ -19,7 +19,7 @@
 double pool_admission::rateForRank(const stage_rank &rank, double perSecond) const
 {
     double remaining = perSecond;
-    for (const auto &[other, each] : m_ranks) {
+    for (const auto &[other, each] : m_rankStates) {
         if (other < rank)
             remaining -= each.arrivals.perSecond(m_clock.now());
     }
@@ -31,7 +31,7 @@
 milliseconds pool_admission::tryAdmit(const stage_rank &rank, double perSecond)
 {
     const auto now = m_clock.now();
-    auto &state = m_ranks[rank];
+    auto &state = m_rankStates[rank];
     state.arrivals.onEvent(now);
     const double rate = rateForRank(rank, perSecond);
     const std::chrono::duration<double> elapsed = now - state.updatedAt;
--- a/src/gateway/placement/pool_admission.h
+++ b/src/gateway/placement/pool_admission.h
@@ -39,7 +39,7 @@
     [[nodiscard]] double rateForRank(const stage_rank &rank, double perSecond) const;
 
     const clock_source &m_clock;
-    std::map<stage_rank, rank_state> m_ranks;
+    std::map<stage_rank, rank_state> m_rankStates; ///< by the rank of the requests
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/placement/request_placer.cpp
+++ b/src/gateway/placement/request_placer.cpp
@@ -67,7 +67,7 @@
 void request_placer::sendRateLimits(const pool_key &pool, const link_ptr &link)
 {
     auto &recipient = m_limitsSentTo[pool];
-    if (recipient.link == link && recipient.changes == m_limitChanges)
+    if (recipient.link == link && recipient.sentLimitChanges == m_limitChanges)
         return;
     recipient = {link, m_limitChanges};
     rate_limits_frame frame;
@@ -206,7 +206,7 @@
         found->second.signals = reported;
 }
 
-// Signals are sent to the host only once.
+// The signals that a server reported are sent to the host only once, with the next progress report.
 void request_placer::sendProgress(placement_id id, pending_placement &entry,
                                   placement_progress_frame::event_type kind)
 {
--- a/src/gateway/placement/request_placer.h
+++ b/src/gateway/placement/request_placer.h
@@ -80,12 +80,12 @@
         placement_id localId = 0;
         server_start server;
     };
-    /// The link over which a pool's host was sent the rate limits, and the last limit change it
-    /// included.
+    /// The link over which the rate limits were last sent to a pool's host, and the value of
+    /// `m_limitChanges` at that time.
     struct limits_recipient
     {
         link_ptr link;
-        std::uint64_t changes = 0;
+        std::uint64_t sentLimitChanges = 0;
     };
 
     [[nodiscard]] link_ptr linkToHost(const pool_key &pool);
@@ -94,6 +94,7 @@
     void sendRateLimits(const pool_key &pool, const link_ptr &link);
     void placeLocally(placement_id id, pending_placement &entry);
     [[nodiscard]] placement_result placeOnBoard(placement_id id, const placement_query &query);
+    /// Admits or refuses a request as the host of its pool.
     [[nodiscard]] admission admitOnBoard(const placement_query &query);
     /// Calls the handler of the request.
     void complete(pending_placement &entry, const placement_result &placed);
--- a/src/gateway/publication/configuration.h
+++ b/src/gateway/publication/configuration.h
@@ -76,7 +76,8 @@
     milliseconds callTime{0}; ///< fixed cost of a call, whatever its number of pieces
     std::chrono::microseconds pieceTime{0}; ///< approximate cost of each piece
     std::uint64_t resultMemoryBytes = 0; ///< memory for results
-    milliseconds resultLifetime{0}; ///< counted from the end of the call
+    milliseconds resultLifetime{
+        0}; ///< counted from the end of the stage call that computed the results
 };
 
 /// Capacity of one backend server of a service for running models.
--- a/src/gateway/publication/publication_relay.h
+++ b/src/gateway/publication/publication_relay.h
@@ -113,7 +113,9 @@
     steady_time m_startedAt;
     milliseconds m_listTimeout; ///< after settling; then this node reads a long list itself
     std::size_t m_treeLevel = 0; ///< as of the last tick
-    std::optional<steady_time> m_directReadNotBefore; ///< earliest time to read without readers
+    std::optional<steady_time>
+        m_directReadNotBefore; ///< earliest time at which this node reads the store itself because
+                               ///< no source is current
     std::optional<steady_time> m_withoutSourceSince; ///< empty if a source is current
     configuration_relay<Codec> m_configurations;
     list_digest m_digest{}; ///< of the servers in the directory
--- a/src/gateway/publication/publication_relay_impl.h
+++ b/src/gateway/publication/publication_relay_impl.h
@@ -12,7 +12,7 @@
 /// A heartbeat from a source that arrives at most this long before the next one is due is forwarded
 /// at once: waiting at each level of the tree would accumulate delay. A heartbeat of the second
 /// source, between two heartbeats of the first, is not forwarded.
-inline constexpr milliseconds EarlyHeartbeatMargin{100};
+inline constexpr milliseconds HeartbeatEarlyTolerance{100};
 /// A source whose last reading of the store is older than this is not current: two heartbeats and a
 /// lost packet. Shorter than the time in which a reader notices a silent store, so the timeout does
 /// not extend the bound for propagation.
@@ -24,11 +24,11 @@
 /// After its start a node waits this long for others to read the store: hundreds of nodes that
 /// start at the same time agree on the readers within a second. Meanwhile the node serves from its
 /// first reading.
-inline constexpr milliseconds SettleTime{700};
+inline constexpr milliseconds MembershipSettleTime{700};
 /// A node that has read the complete state once waits this long for a reader, plus a random time up
 /// to the same length, before it continues to read the store. Readers first read thousands of
 /// servers, and hundreds of nodes that read the list again at that moment would delay the readers.
-inline constexpr milliseconds FirstSourceTimeout{2000};
+inline constexpr milliseconds ReaderWaitTime{2000};
 /// Peers are asked for the published state only after the store has been silent for this long: the
 /// store answers in a few milliseconds, and an answer of a peer may have hundreds of kilobytes.
 inline constexpr milliseconds PeerRequestDelay{300};
@@ -58,9 +58,8 @@
     , m_log(log)
     , m_random(seed)
     , m_startedAt(loop.now())
-    , m_listTimeout(
-          FirstSourceTimeout
-          + milliseconds{randomBelow(static_cast<std::size_t>(FirstSourceTimeout.count()))})
+    , m_listTimeout(ReaderWaitTime
+                    + milliseconds{randomBelow(static_cast<std::size_t>(ReaderWaitTime.count()))})
     , m_configurations(loop, peers, state, store, onEvent, log)
 { }
 
@@ -69,7 +68,7 @@
 {
     const auto position = positionInTree(m_peers.self(), m_peers.relayOrder());
     m_treeLevel = position.level;
-    const bool settled = m_loop.now() - m_startedAt >= SettleTime;
+    const bool settled = m_loop.now() - m_startedAt >= MembershipSettleTime;
     const bool reader = settled && position.level == 0;
     if (m_store.listPending() && (reader || listIsOverdue(position)))
         m_store.readList(reader ? read_consistency::Latest : read_consistency::MayBeStale);
@@ -89,7 +88,7 @@
 bool publication_relay<Codec>::listIsOverdue(const relay_position &position) const
 {
     return m_loop.now()
-        >= m_startedAt + SettleTime + m_listTimeout + DelayPerLevel * position.level;
+        >= m_startedAt + MembershipSettleTime + m_listTimeout + DelayPerLevel * position.level;
 }
 
 template <gateway_codec Codec>
@@ -103,8 +102,8 @@
     if (!m_store.complete())
         return false;
     if (!m_directReadNotBefore)
-        m_directReadNotBefore = now + FirstSourceTimeout
-            + milliseconds{randomBelow(static_cast<std::size_t>(FirstSourceTimeout.count()))};
+        m_directReadNotBefore = now + ReaderWaitTime
+            + milliseconds{randomBelow(static_cast<std::size_t>(ReaderWaitTime.count()))};
     const auto furtherLevels = position.level > 1 ? position.level - 1 : 0;
     const auto delay = DelayPerLevel * furtherLevels;
     return m_withoutSourceSince && now >= *m_withoutSourceSince + delay
@@ -218,7 +217,7 @@
     apply(frame, from->first);
     // A later version is announced before its text arrives here, since the nodes of the
     // distribution tree wait for the text.
-    const bool due = frame.current && m_loop.now() + EarlyHeartbeatMargin >= m_nextHeartbeat;
+    const bool due = frame.current && m_loop.now() + HeartbeatEarlyTolerance >= m_nextHeartbeat;
     if (due || m_announcedVersion > std::max(versionBefore, m_configurations.ownVersion()))
         sendHeartbeat();
     else
--- a/src/gateway/publication/published_state.cpp
+++ b/src/gateway/publication/published_state.cpp
@@ -171,7 +171,8 @@
 }
 
 std::vector<publication_event>
-published_state::applyOperations(const std::vector<published_item> &items, std::uint64_t revision)
+published_state::applyOperatorItems(const std::vector<published_item> &items,
+                                    std::uint64_t revision)
 {
     evacuation_list list{revision, {}};
     std::vector<published_item> others;
--- a/src/gateway/publication/published_state.h
+++ b/src/gateway/publication/published_state.h
@@ -55,8 +55,8 @@
                                               const std::set<std::uint32_t> &parts);
     /// Applies everything that operators have published, read from the store at `revision` or
     /// later; data centres not evacuated there are no longer evacuated.
-    std::vector<publication_event> applyOperations(const std::vector<published_item> &items,
-                                                   std::uint64_t revision);
+    std::vector<publication_event> applyOperatorItems(const std::vector<published_item> &items,
+                                                      std::uint64_t revision);
     /// Records that all changes up to `revision` have been applied.
     void advanceEvacuations(std::uint64_t revision) { m_evacuations.advanceRevision(revision); }
     /// Applies the list of evacuated data centres of a peer if it is newer.
--- a/src/gateway/publication/store_options.cpp
+++ b/src/gateway/publication/store_options.cpp
@@ -19,7 +19,8 @@
     store_options options;
     options.silenceTimeout =
         std::clamp(bound - FollowerReadTime, options.silenceTimeout, MaxSilenceTimeout);
-    // Two watches without changes, or one watch and an answer of a slow store.
+    // The silence timeout covers two watches without changes, or one watch and an answer of a slow
+    // store.
     options.watchWaitWithFollowers = options.silenceTimeout / 2;
     options.watchWait = std::max(options.watchWait, options.watchWaitWithFollowers);
     return options;
--- a/src/gateway/publication/store_reader.h
+++ b/src/gateway/publication/store_reader.h
@@ -47,7 +47,8 @@
     [[nodiscard]] bool listPending() const { return m_listPending; }
     /// Reads the pending list and what operators published.
     void readList(read_consistency serverFreshness);
-    /// Fetches only the configuration, whether or not this node reads the store.
+    /// Fetches only the configuration from the store, also if this node gets all other publications
+    /// from other nodes.
     void fetchConfiguration();
     /// Sets whether other nodes rely on what this node reads.
     void setHasFollowers(bool hasFollowers) { m_hasFollowers = hasFollowers; }
@@ -130,7 +131,8 @@
     std::vector<published_item> m_list; ///< pages read so far
     std::uint64_t m_revision = 0; ///< all changes up to this revision are known
     std::uint64_t m_listRevision = 0; ///< earliest revision of the pages read so far
-    bool m_complete = false; ///< the complete state was read since the history was last lost
+    bool m_complete =
+        false; ///< the complete state was read or received, and no reading of it has begun since
     bool m_latest = false; ///< the state is not an old one: a watch can begin at `m_revision`
     std::optional<published_page> m_firstPage; ///< of servers, read before what operators published
     bool m_listPending = false;
@@ -138,7 +140,7 @@
     bool m_connected = false;
     bool m_reading = true;
     bool m_hasFollowers = false;
-    bool m_fetching = false;
+    bool m_fetchingConfiguration = false;
     steady_time m_nextFetch{};
     std::uint64_t m_readGeneration = 0; ///< incremented when reading starts or stops
     http::pool_call m_call = 0; ///< the open call
--- a/src/gateway/publication/store_reader_impl.h
+++ b/src/gateway/publication/store_reader_impl.h
@@ -114,7 +114,7 @@
                  readOperations(page.lastKey, serverFreshness);
                  return;
              }
-             reportEvents(m_state.applyOperations(m_list, m_listRevision));
+             reportEvents(m_state.applyOperatorItems(m_list, m_listRevision));
              m_list.clear();
              if (auto servers = std::exchange(m_firstPage, std::nullopt))
                  onServers(std::move(*servers), serverFreshness);
@@ -240,12 +240,12 @@
 template <gateway_codec Codec>
 void store_reader<Codec>::fetchConfiguration()
 {
-    if (m_fetching || m_loop.now() < m_nextFetch)
+    if (m_fetchingConfiguration || m_loop.now() < m_nextFetch)
         return;
-    m_fetching = true;
+    m_fetchingConfiguration = true;
     m_nextFetch = m_loop.now() + m_options.fetchPause;
     get(Codec::configurationTarget(), m_options.answerTimeout, [this](const store_answer &answer) {
-        m_fetching = false;
+        m_fetchingConfiguration = false;
         constexpr int Ok = 200;
         auto page = answer.failure.empty() && answer.status == Ok
             ? Codec::readItem(answer.body)
--- a/src/gateway/quarantine/quarantine_relay.cpp
+++ b/src/gateway/quarantine/quarantine_relay.cpp
@@ -80,7 +80,7 @@
     auto line = m_log.line(wire::log_level::Warning, toName(log_event::QuarantineChanged));
     line.add("digest", toText(entry.request)).add("level", toName(entry.level));
     line.add("from", from).add("by", by.value);
-    line.add("ends", found.crashCount).add("charged", found.attributed);
+    line.add("ends", found.crashCount).add("charged", found.attributedCrashCount);
     line.add("servers_ended", joinFirstIds(found.servers));
     const auto remaining = std::chrono::duration_cast<milliseconds>(entry.expiresAt - m_loop.now());
     line.add("times", entry.quarantineCount).add("left_ms", remaining.count());
--- a/src/gateway/quarantine/request_quarantine.cpp
+++ b/src/gateway/quarantine/request_quarantine.cpp
@@ -149,7 +149,7 @@
     std::erase_if(exposures, [&](const exposure &each) {
         return !isAttributedTo(*each.crash, request, found.crashCount);
     });
-    found.attributed = countIndependent(exposures);
+    found.attributedCrashCount = countIndependent(exposures);
     return found;
 }
 
@@ -168,7 +168,7 @@
         return again ? quarantine_level::Quarantined : statusOf(request).level;
     }
     const auto found = evidenceOf(request);
-    if (found.attributed >= CrashesToQuarantine)
+    if (found.attributedCrashCount >= CrashesToQuarantine)
         return quarantine_level::Quarantined;
     return found.crashCount >= CrashesToSuspect ? quarantine_level::Suspected
                                                 : quarantine_level::Unrestricted;
@@ -222,7 +222,7 @@
                 continue;
             const bool inFirstQuarantine = found->second.level == quarantine_level::Quarantined
                 && found->second.quarantineCount == 1;
-            if (inFirstQuarantine && evidenceOf(other).attributed < CrashesToQuarantine)
+            if (inFirstQuarantine && evidenceOf(other).attributedCrashCount < CrashesToQuarantine)
                 changed.push_back(setLevel(other, quarantine_level::Suspected));
         }
     }
--- a/src/gateway/servers/rate_pacer.h
+++ b/src/gateway/servers/rate_pacer.h
@@ -33,7 +33,8 @@
     /// Requests sent to a server and not yet worked off at the rate of its limit.
     struct backlog
     {
-        double requests = 0.0;
+        double requests =
+            0.0; ///< at `updatedAt`; a fraction remains of a request partly worked off
         steady_time updatedAt;
     };
     [[nodiscard]] double backlogOf(const server &backend, double perSecond, steady_time now) const;
--- a/src/gateway/servers/server_directory.cpp
+++ b/src/gateway/servers/server_directory.cpp
@@ -416,8 +416,8 @@
 
 void server_directory::onResponseBegin(const server &backend) const
 {
-    if (m_onContact)
-        m_onContact(backend.record.dataCenter);
+    if (m_onDataCenterAnswered)
+        m_onDataCenterAnswered(backend.record.dataCenter);
 }
 
 void server_directory::onAnswer(server &backend)
--- a/src/gateway/servers/server_directory.h
+++ b/src/gateway/servers/server_directory.h
@@ -134,7 +134,7 @@
 };
 
 /// Returns a random extension of a requested backoff, as a fraction of its length.
-using backoff_spread = std::function<double()>;
+using backoff_jitter = std::function<double()>;
 
 /// Criteria for choosing a server.
 struct server_query
@@ -219,7 +219,7 @@
     void onFailure(server &backend);
     /// Sets the function that extends requested backoffs at random, so that the backoffs of many
     /// nodes don't end together. By default they are not extended.
-    void setBackoffSpread(backoff_spread spread) { m_backoffSpread = std::move(spread); }
+    void setBackoffJitter(backoff_jitter jitter) { m_backoffJitter = std::move(jitter); }
     /// Called by every path to a server when the bytes of a request are sent. Other requests may
     /// follow at once.
     void onSending(server &backend);
@@ -231,8 +231,8 @@
     /// Returns all starts that are known to be leaving from responses, including those that were
     /// published until recently.
     [[nodiscard]] std::vector<server_start> leavingStarts() const;
-    /// Applies the rate limit of a response to this node; it is valid until the next response
-    /// changes it.
+    /// Sets the server's rate limit to the one reported in a response that this node received. The
+    /// limit is valid until a later response changes it.
     void onRateLimit(server &backend, const reported_rate_limit &reported);
     /// Applies the rate limit of a response that another node got at `receivedAt`.
     void onRateLimit(server &backend, const reported_rate_limit &reported, steady_time receivedAt);
@@ -248,9 +248,9 @@
     [[nodiscard]] server_ptr nextServerIn(const data_center_id &dataCenter);
 
     /// Called when a response of a server of the data centre begins or is complete.
-    void onContact(std::function<void(const data_center_id &)> handler)
+    void onDataCenterAnswered(std::function<void(const data_center_id &)> handler)
     {
-        m_onContact = std::move(handler);
+        m_onDataCenterAnswered = std::move(handler);
     }
     /// Called when bytes of a request are sent to a server of the data centre.
     void onSent(std::function<void(const data_center_id &)> handler)
@@ -334,8 +334,8 @@
     std::set<data_center_id> m_unreachable;
     std::set<data_center_id> m_evacuated;
     backend_server_id m_lastReturned; ///< last result of `nextServerIn`
-    backoff_spread m_backoffSpread;
-    std::function<void(const data_center_id &)> m_onContact;
+    backoff_jitter m_backoffJitter;
+    std::function<void(const data_center_id &)> m_onDataCenterAnswered;
     std::function<void(const data_center_id &)> m_onSent;
     std::function<void(const service_id &)> m_onChange;
     std::function<void(const server &, bool avoided)> m_onAvoidanceChanged;
--- a/src/gateway/servers/server_directory_signals.cpp
+++ b/src/gateway/servers/server_directory_signals.cpp
@@ -19,8 +19,8 @@
 // has passed.
 constexpr milliseconds ProbeTimeout{500};
 // How long the signals of a start that is not published are kept. Published entries expire and
-// reappear while the store is unavailable, and responses report that a server is leaving before a
-// list that lags behind contains the server.
+// reappear while the store is unavailable, and a response may report that a server is leaving
+// before this node's list of published servers, which lags behind, contains the server.
 constexpr std::chrono::seconds UnpublishedSignalLifetime{60};
 
 } // namespace
@@ -131,7 +131,7 @@
     const auto now = m_clock.now();
     if (now + time <= backend.backoffUntil)
         return;
-    const std::chrono::duration<double> spread = time * (m_backoffSpread ? m_backoffSpread() : 0.0);
+    const std::chrono::duration<double> spread = time * (m_backoffJitter ? m_backoffJitter() : 0.0);
     backend.backoffUntil = now + time + std::chrono::ceil<milliseconds>(spread);
     backend.probing = true;
     if (m_onBackoff)
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -111,7 +111,7 @@
                 settings.disabledPolicies.insert(*disabled);
         });
     }
-    mapping.read("stage_calls", presence::Optional, settings.stageCalls,
+    mapping.read("stage_calls", presence::Optional, settings.stageCallSharing,
                  &value_reader::enumerator<stage_sharing>);
     return settings;
 }
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -61,7 +61,7 @@
     /// requests are always written. A request has about ten lines, so at the base load of the nodes
     /// served so far, 100 lines show one request in a few.
     std::uint32_t requestLines = 100;
-    stage_sharing stageCalls = stage_sharing::Shared;
+    stage_sharing stageCallSharing = stage_sharing::Shared;
     disabled_policies disabledPolicies;
 };
 
--- a/src/gateway/stages/stage_host_frees_impl.h
+++ b/src/gateway/stages/stage_host_frees_impl.h
@@ -97,7 +97,7 @@
             return std::nullopt;
         http::request_head head;
         head.method = "POST";
-        head.target = Codec::freePath();
+        head.target = Codec::freeResultsPath();
         head.fields = Codec::stageFields(holder->record.id);
         head.fields.push_back({"Host", toText(holder->record.address)});
         head.fields.push_back({"Content-Length", std::to_string(length)});
--- a/src/gateway/stages/stage_pool.cpp
+++ b/src/gateway/stages/stage_pool.cpp
@@ -39,8 +39,9 @@
 // How long a piece waits at most for a server in the data centre of its inputs while another server
 // is idle: two to three calls, so that a data centre with one server ends a call in that time. A
 // piece waits only while its `softDeadline` leaves time for a full call, so that waiting makes none
-// late. Only pieces with at least `MinLocalWaitBytes` of inputs wait, as each fetches all results
-// of the stages that it depends on. In a deployment of six nodes, waiting halves the results that
+// late. A piece fetches all results of the stages that it depends on, so running it in another data
+// centre is costly only if these are large: pieces with less than `MinLocalWaitBytes` of inputs
+// don't wait. In a deployment of six nodes, waiting halves the results that
 // are transferred between data centres.
 constexpr milliseconds MaxLocalWait{700};
 constexpr std::uint64_t MinLocalWaitBytes = 100'000;
--- a/src/gateway/stages/stage_router.h
+++ b/src/gateway/stages/stage_router.h
@@ -16,9 +16,9 @@
 /// Sends each piece to the node that hosts the stage pool for its service and location, so that the
 /// pieces of all nodes share calls.
 ///
-/// Hosts give no guarantee. When the link to a host closes or times out, its pieces are submitted
-/// again to the current host of the pool, and after `MaxMoves` moves to this node's own
-/// `stage_host`. A piece may therefore run twice.
+/// A host may lose pieces without reporting it. When the link to a host closes or times out, its
+/// pieces are submitted again to the current host of the pool, and after `MaxMoves` moves to this
+/// node's own `stage_host`. A piece may therefore run twice.
 template <gateway_codec Codec>
 class stage_router
 {
@@ -29,9 +29,9 @@
                  server_directory &directory, retry_budget &retryBudget,
                  const gateway_settings &settings);
 
-    /// Sets the function that returns whether this node has the list of servers and can host pools
-    /// for other nodes. If unset, the node always hosts.
-    void setReadinessCheck(std::function<bool()> prepared) { m_prepared = std::move(prepared); }
+    /// Sets the function that returns whether this node has the list of servers, so that it can
+    /// host pools for other nodes. If unset, the node always hosts.
+    void setHostReadyCheck(std::function<bool()> isReady) { m_isHostReady = std::move(isReady); }
     /// Returns the node that hosts a pool, from the view of this node.
     [[nodiscard]] vm_id hostOf(const pool_key &pool) const;
     /// Returns the pool of a service for work that is preferably done in the data centre
@@ -107,7 +107,7 @@
     server_directory &m_directory;
     retry_budget &m_retryBudget;
     data_center_id m_dataCenter; ///< of this node
-    std::function<bool()> m_prepared;
+    std::function<bool()> m_isHostReady;
     stage_sharing m_sharing;
     pool_splitter m_splitter;
     std::unordered_map<piece_token, submission> m_submissions;
--- a/src/gateway/stages/stage_router_impl.h
+++ b/src/gateway/stages/stage_router_impl.h
@@ -14,8 +14,9 @@
 inline constexpr milliseconds HostPingDelay{100};
 inline constexpr milliseconds HostTimeout{320};
 /// A data centre with three or more servers fills calls by itself. With one or two, the cost of
-/// calls with fewer pieces exceeds that of transferring results between data centres.
-inline constexpr pool_split_limits StagePoolWidths{3, 2};
+/// calls with fewer pieces exceeds that of transferring results between data centres. Pools are
+/// split from three servers on and joined again below two.
+inline constexpr pool_split_limits StagePoolSplitLimits{3, 2};
 /// Delay before a piece is sent again to a host that sees its servers leaving or evacuated while
 /// this node doesn't yet. Nodes exchange such updates within a few ticks.
 inline constexpr milliseconds ServerUpdateDelay{150};
@@ -36,8 +37,8 @@
     , m_directory(directory)
     , m_retryBudget(retryBudget)
     , m_dataCenter(settings.dataCenter)
-    , m_sharing(settings.stageCalls)
-    , m_splitter(directory, StagePoolWidths)
+    , m_sharing(settings.stageCallSharing)
+    , m_splitter(directory, StagePoolSplitLimits)
 {
     if (settings.disabledPolicies.contains(policy::SplitPools))
         m_splitter.disableSplitting();
@@ -149,15 +150,16 @@
 template <gateway_codec Codec>
 void stage_router<Codec>::freeResults(const std::vector<std::string> &handles)
 {
-    std::map<pool_key, std::vector<std::string>> byPool;
+    std::map<pool_key, std::vector<std::string>> handlesByPool;
     for (const auto &each : handles) {
         const auto address = parseSocketAddress(resultServerAddress(each));
         const auto holder = address ? m_directory.findAt(*address) : nullptr;
         // The results of a removed server are lost with it.
         if (holder)
-            byPool[poolFor(holder->record.service, holder->record.dataCenter)].push_back(each);
+            handlesByPool[poolFor(holder->record.service, holder->record.dataCenter)].push_back(
+                each);
     }
-    for (auto &[pool, list] : byPool) {
+    for (auto &[pool, list] : handlesByPool) {
         if (const auto link = linkToHost(pool))
             link->send(free_results_frame{std::move(list)});
         else
@@ -192,9 +194,10 @@
     handler(std::move(report));
 }
 
-// No server has started the piece, so this doesn't count as a retry. If this node has usable
-// servers in a pool that its host reports as closed, their views differ only for a short time, and
-// the piece is sent to the same pool again after `ServerUpdateDelay`.
+// No server has started the piece, so sending it again doesn't count as a retry. The host may
+// report that the servers of a pool get no new work while this node still sees usable servers
+// there. The views of the two nodes differ only for a short time, so the piece is sent to the same
+// pool again after `ServerUpdateDelay`.
 template <gateway_codec Codec>
 bool stage_router<Codec>::moveFromClosedPool(piece_token token, submission &entry)
 {
@@ -289,7 +292,7 @@
     const auto peerToken = frame.token;
     // Other nodes choose a new node as a host as soon as they see it in the membership, before it
     // has read the list of servers.
-    if (m_prepared && !m_prepared()) {
+    if (m_isHostReady && !m_isHostReady()) {
         link->send(piece_outcome_frame{peerToken, {piece_failure::HostNotReady}});
         return;
     }
--- a/tests/gateway/server_directory_test.cpp
+++ b/tests/gateway/server_directory_test.cpp
@@ -382,7 +382,7 @@
 {
     manual_clock clock;
     server_directory directory(clock);
-    directory.setBackoffSpread([] { return 0.25; });
+    directory.setBackoffJitter([] { return 0.25; });
     directory.put(makeRecord("s1"));
     directory.onSignals(*directory.find(backend_server_id("s1")), refusal(milliseconds{2000}));
     CHECK(directory.backoffOf(service_id("s"), {}) == milliseconds{2500});
--- a/tests/gateway/settings_test.cpp
+++ b/tests/gateway/settings_test.cpp
@@ -90,12 +90,12 @@
     const auto plain = parseGatewaySettings(CompleteSettings, "f");
     REQUIRE(plain);
     CHECK(plain.value().requestLines == 100);
-    CHECK(plain.value().stageCalls == stage_sharing::Shared);
+    CHECK(plain.value().stageCallSharing == stage_sharing::Shared);
     const auto set = parseGatewaySettings(
         CompleteSettings + "log:\n  request_lines: 7\nstage_calls: alone\n", "f");
     REQUIRE(set);
     CHECK(set.value().requestLines == 7);
-    CHECK(set.value().stageCalls == stage_sharing::Alone);
+    CHECK(set.value().stageCallSharing == stage_sharing::Alone);
     const auto wrong = parseGatewaySettings(CompleteSettings + "stage_calls: some\n", "f");
     REQUIRE_FALSE(wrong);
     CHECK(wrong.error().front().message().find("stage_calls") != std::string::npos);
