--- a/include/orchidlead/enum_names.h
+++ b/include/orchidlead/enum_names.h
@@ -5,7 +5,7 @@
 
 namespace orchidlead {
 
-/// One row of the table that names the values of an `enum class`.
+/// Entry of the table of names of an `enum class`.
 template <class Enum>
 struct enum_name
 {
@@ -13,12 +13,12 @@
     std::string_view name;
 };
 
-/// Gives the table of names of `Enum`; specialised beside each enumeration as
+/// Table of names of `Enum`, specialised next to each enumeration:
 /// `template <> inline constexpr std::array enumNames<my_enum>{enum_name<my_enum>{...}, ...};`
 template <class Enum>
 inline constexpr int enumNames = 0;
 
-/// Gives the name of a value, or "?" where the table has no such row.
+/// Returns the name of a value, or "?" if the table has no entry for it.
 template <class Enum>
 [[nodiscard]] constexpr std::string_view toName(Enum value)
 {
@@ -29,7 +29,7 @@
     return "?";
 }
 
-/// Finds the value with that name.
+/// Returns the value with the given name, if there is one.
 template <class Enum>
 [[nodiscard]] constexpr std::optional<Enum> fromName(std::string_view name)
 {
--- a/include/orchidlead/ids.h
+++ b/include/orchidlead/ids.h
@@ -9,7 +9,7 @@
 
 namespace orchidlead {
 
-/// A name that can't be mistaken for a name of another kind of thing.
+/// Typed identifier: ids with different tags are distinct types.
 template <class Tag>
 struct strong_id
 {
@@ -21,7 +21,7 @@
     { }
 
     [[nodiscard]] bool empty() const { return value.empty(); }
-    // clang-tidy 14 takes the comparison with 0 that the compiler writes for a null pointer.
+    // clang-tidy 14 mistakes the generated comparison with 0 for one with a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     friend auto operator<=>(const strong_id &, const strong_id &) = default;
 };
@@ -36,30 +36,30 @@
 using pipeline_id = strong_id<struct pipeline_id_tag>;
 using stage_id = strong_id<struct stage_id_tag>;
 
-/// Names one request in the whole system: `<vm>-<incarnation>-<sequence>`.
+/// Identifies a request in the whole system: `<vm>-<incarnation>-<sequence>`.
 using request_id = strong_id<struct request_id_tag>;
 
-/// Tells two starts of a process on the same VM apart; drawn once at start, unique for each.
+/// Identifies one of the processes started on the same VM; a unique number set at process start.
 using incarnation = std::uint64_t;
 
-/// Names one try of one stage of one request. Every answer is matched against it.
+/// Identifies an attempt at a stage of a request. Every answer is matched against it.
 struct attempt_key
 {
     request_id request;
     std::uint32_t stage = 0; ///< index of the stage in the pipeline
-    std::uint32_t attempt = 0; ///< 1 for the first try
+    std::uint32_t attempt = 0; ///< 1 for the first attempt
 
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): mistaken for a comparison with a null pointer
     friend auto operator<=>(const attempt_key &, const attempt_key &) = default;
 };
 
-/// An IP number with a port. Names are never resolved.
+/// IP address and port. Host names are never resolved.
 struct socket_address
 {
     std::string ip;
     std::uint16_t port = 0;
 
-    // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): mistaken for a comparison with a null pointer
     friend auto operator<=>(const socket_address &, const socket_address &) = default;
 };
 
--- a/include/orchidlead/random_source.h
+++ b/include/orchidlead/random_source.h
@@ -4,8 +4,8 @@
 
 namespace orchidlead {
 
-/// A small seeded generator (SplitMix64) whose draws are the same in every build, which
-/// the distributions of the standard library aren't.
+/// Seeded SplitMix64 generator. Its results are the same in every build, unlike those of the
+/// distributions of the standard library.
 class random_source
 {
 public:
@@ -22,10 +22,10 @@
         return mixed ^ (mixed >> 31U);
     }
 
-    /// Draws from [0, bound); `bound` must not be 0. The bias is below bound / 2^64.
+    /// Returns a number in [0, bound); `bound` must not be 0. The bias is below bound / 2^64.
     [[nodiscard]] std::uint64_t below(std::uint64_t bound) { return next() % bound; }
 
-    /// Draws from [0, 1).
+    /// Returns a number in [0, 1).
     [[nodiscard]] double unit()
     {
         constexpr int Bits = 53;
--- a/include/orchidlead/recent_lists.h
+++ b/include/orchidlead/recent_lists.h
@@ -9,42 +9,43 @@
 
 namespace orchidlead {
 
-/// Remembers the VM lists of the last minutes, so that a lease can ask for a majority of each.
+/// Keeps the VM lists of a recent period, so that a lease can require a majority of each.
 ///
-/// Two nodes may hold different lists, and majorities of different lists need not meet. They do
-/// if each holder's list is fresh and each asks a majority of every list of a time that is longer
-/// than the lists can differ.
+/// Two nodes may have different VM lists, and majorities of different lists need not overlap. They
+/// do overlap if the list of each lease holder was confirmed recently, and each holder needs a
+/// majority of every list of a period longer than the time for which lists can differ.
 class recent_lists
 {
 public:
-    /// A list that nobody vouched for during `maxAge` isn't used; a replaced one counts on for
-    /// `memory`.
-    recent_lists(milliseconds maxAge, milliseconds memory);
+    /// The current list is valid for `maxAge` after its last confirmation. A replaced list is kept
+    /// for `retention`.
+    recent_lists(milliseconds maxAge, milliseconds retention);
 
-    /// Takes the list in force; `confirmedAt` is when the platform last vouched for it.
+    /// Sets the current list; `confirmedAt` is when the platform last confirmed it.
     void set(std::vector<vm_id> vms, steady_time confirmedAt, steady_time now);
 
     [[nodiscard]] const std::vector<vm_id> &current() const { return m_current; }
 
-    /// Tells whether a VM is in any of the recent lists.
+    /// Whether a VM is in the current list or a recent one.
     [[nodiscard]] bool contains(const vm_id &vm) const;
 
-    /// Gives all VMs of the recent lists, without doubles.
+    /// Returns all VMs of the current and recent lists, without duplicates.
     [[nodiscard]] std::vector<vm_id> voters() const;
 
-    /// Tells whether the lists of all of `memory` are known, without a gap.
+    /// Whether all lists of the last `retention` are known, without a gap.
     [[nodiscard]] bool complete(steady_time now) const;
 
-    /// Gives when the current list becomes too old.
+    /// Returns when the current list becomes too old.
     [[nodiscard]] steady_time freshUntil() const { return m_confirmedAt + m_maxAge; }
 
-    using vote_end = std::function<steady_time(const vm_id &)>;
+    /// Returns when the vote of a VM expires.
+    using vote_expiry = std::function<steady_time(const vm_id &)>;
 
-    /// Gives until when more than half of the current list vote, and of every recent one where
-    /// `everyList`.
-    [[nodiscard]] steady_time majorityUntil(const vote_end &voteOf, bool everyList) const;
+    /// Returns until when the votes of more than half of the current list are valid; with
+    /// `includePast`, of each recent list too.
+    [[nodiscard]] steady_time majorityUntil(const vote_expiry &voteExpiry, bool includePast) const;
 
-    /// Forgets the lists that are older than the memory.
+    /// Removes lists that were replaced longer than `retention` ago.
     void tick(steady_time now);
 
 private:
@@ -54,15 +55,15 @@
         steady_time replacedAt;
     };
 
-    static constexpr std::size_t MaxLists = 32;
+    static constexpr std::size_t MaxPastLists = 32;
 
     milliseconds m_maxAge;
-    milliseconds m_memory;
+    milliseconds m_retention;
     std::vector<vm_id> m_current; // sorted
     std::vector<past_list> m_past; // oldest first
     steady_time m_confirmedAt;
     steady_time m_completeSince;
-    bool m_known = false;
+    bool m_initialized = false;
 };
 
 } // namespace orchidlead
--- a/include/orchidlead/rendezvous.h
+++ b/include/orchidlead/rendezvous.h
@@ -9,11 +9,11 @@
 
 namespace orchidlead {
 
-/// Gives the weight of `member` for `key`; the same in every process and build.
+/// Returns the weight of `member` for `key`; the same in every process and build.
 [[nodiscard]] std::uint64_t rendezvousWeight(std::string_view key, std::string_view member);
 
-/// Returns the `count` members with the highest weights for `key`, best first (fewer where there
-/// are fewer). Removing a member moves only the keys that it had.
+/// Returns the `count` members with the highest weights for `key`, highest first, or all members if
+/// there are fewer. Removing a member moves only the keys assigned to it.
 [[nodiscard]] std::vector<vm_id> rendezvousPick(std::string_view key,
                                                 std::span<const vm_id> members, std::size_t count);
 
--- a/include/orchidlead/result.h
+++ b/include/orchidlead/result.h
@@ -8,8 +8,8 @@
 
 /// A value of type `Value` or an error of type `Error`, without exceptions.
 ///
-/// Each layer has its own `Error` type and turns those of the layer below into its own. Reading
-/// the side that isn't there ends the process.
+/// Each layer has its own `Error` type and converts the errors of the layer below. Access to the
+/// value of an error, or to the error of a value, terminates the process.
 template <class Value, class Error>
 using result =
     BOOST_OUTCOME_V2_NAMESPACE::basic_result<Value, Error,
--- a/src/core/membership/gossip_message.cpp
+++ b/src/core/membership/gossip_message.cpp
@@ -1,6 +1,6 @@
 #include "core/membership/gossip_message.h"
 
-// The codec needs nothing of Boost.
+// The codec does not need the Boost part of msgpack.
 #define MSGPACK_NO_BOOST
 #include <msgpack.hpp>
 
@@ -26,7 +26,7 @@
     out.pack_str_body(text.data(), static_cast<std::uint32_t>(text.size()));
 }
 
-/// Writes the hashes as bytes, most significant first: half as long as numbers in an array.
+/// Writes the hashes as big-endian bytes, which takes half the space of an array of numbers.
 void packHashes(packer &out, const std::vector<std::uint32_t> &hashes)
 {
     std::string bytes;
@@ -46,8 +46,8 @@
     out.pack(update.incarnation);
     out.pack(update.generation);
     out.pack(static_cast<std::uint64_t>(update.status) | (update.leaving ? LeavingBit : 0));
-    out.pack(update.accuser);
-    // Kept for later formats of the same version; readers skip it.
+    out.pack(update.suspectedBy);
+    // Reserved for later formats of this version; ignored by readers.
     out.pack_nil();
     if (!update.description)
         return;
@@ -58,49 +58,49 @@
     out.pack(update.description->capacity);
 }
 
-/// Reads the fields of one array in order; the first wrong one makes all further reads fail.
+/// Reads the fields of an array in order. After the first invalid field, all reads fail.
 class field_reader
 {
 public:
     explicit field_reader(const msgpack::object &object)
     {
-        m_good = object.type == msgpack::type::ARRAY;
-        if (m_good)
+        m_valid = object.type == msgpack::type::ARRAY;
+        if (m_valid)
             m_array = object.via.array;
     }
 
-    [[nodiscard]] bool good() const { return m_good; }
-    [[nodiscard]] std::uint32_t size() const { return m_good ? m_array.size : 0; }
+    [[nodiscard]] bool valid() const { return m_valid; }
+    [[nodiscard]] std::uint32_t size() const { return m_valid ? m_array.size : 0; }
 
     const msgpack::object *next()
     {
-        m_good = m_good && m_index < m_array.size;
-        return m_good ? &m_array.ptr[m_index++] : nullptr;
+        m_valid = m_valid && m_index < m_array.size;
+        return m_valid ? &m_array.ptr[m_index++] : nullptr;
     }
 
     std::uint64_t number(std::uint64_t bound = std::numeric_limits<std::uint64_t>::max())
     {
         const auto *object = next();
-        m_good =
+        m_valid =
             object && object->type == msgpack::type::POSITIVE_INTEGER && object->via.u64 <= bound;
-        return m_good ? object->via.u64 : 0;
+        return m_valid ? object->via.u64 : 0;
     }
 
     std::string text()
     {
         const auto *object = next();
-        m_good =
+        m_valid =
             object && object->type == msgpack::type::STR && object->via.str.size <= MaxGossipText;
-        return m_good ? std::string(object->via.str.ptr, object->via.str.size) : std::string();
+        return m_valid ? std::string(object->via.str.ptr, object->via.str.size) : std::string();
     }
 
     std::vector<std::uint32_t> hashes()
     {
         const auto *object = next();
-        m_good = object && object->type == msgpack::type::BIN
+        m_valid = object && object->type == msgpack::type::BIN
             && object->via.bin.size % HashBytes == 0
             && object->via.bin.size <= MaxGossipHashes * HashBytes;
-        if (!m_good)
+        if (!m_valid)
             return {};
         std::vector<std::uint32_t> found(object->via.bin.size / HashBytes);
         for (std::size_t i = 0; i < object->via.bin.size; ++i)
@@ -112,32 +112,32 @@
     bool flag()
     {
         const auto *object = next();
-        m_good = object && object->type == msgpack::type::BOOLEAN;
-        return m_good && object->via.boolean;
+        m_valid = object && object->type == msgpack::type::BOOLEAN;
+        return m_valid && object->via.boolean;
     }
 
 private:
     msgpack::object_array m_array{};
     std::uint32_t m_index = 0;
-    bool m_good = false;
+    bool m_valid = false;
 };
 
 bool readUpdate(const msgpack::object &object, gossip_update &update)
 {
     field_reader fields(object);
-    const bool described = fields.size() == DescribedUpdateFields;
+    const bool hasDescription = fields.size() == DescribedUpdateFields;
     update.vm = vm_id{fields.text()};
     update.incarnation = fields.number();
     update.generation = fields.number(MaxGeneration);
     const auto status = fields.number(LeavingBit | StatusMask);
-    update.accuser =
+    update.suspectedBy =
         static_cast<std::uint32_t>(fields.number(std::numeric_limits<std::uint32_t>::max()));
     fields.next();
     if ((status & StatusMask) > static_cast<std::uint64_t>(member_status::Dead))
         return false;
     update.status = static_cast<member_status>(status & StatusMask);
     update.leaving = (status & LeavingBit) != 0;
-    if (described) {
+    if (hasDescription) {
         member_description description;
         description.dataCenter = data_center_id{fields.text()};
         description.region = region_id{fields.text()};
@@ -148,13 +148,13 @@
             static_cast<std::uint32_t>(fields.number(std::numeric_limits<std::uint32_t>::max()));
         update.description = std::move(description);
     }
-    return fields.good() && !update.vm.empty();
+    return fields.valid() && !update.vm.empty();
 }
 
 bool readUpdates(const msgpack::object &object, std::vector<gossip_update> &updates)
 {
     field_reader fields(object);
-    if (!fields.good() || fields.size() > MaxGossipUpdates)
+    if (!fields.valid() || fields.size() > MaxGossipUpdates)
         return false;
     updates.resize(fields.size());
     for (auto &update : updates) {
@@ -168,7 +168,7 @@
 {
     field_reader fields(object);
     if (fields.number() != FormatVersion)
-        return fields.good() ? gossip_error::UnknownFormat : gossip_error::Malformed;
+        return fields.valid() ? gossip_error::UnknownFormat : gossip_error::Malformed;
     gossip_message message;
     message.kind =
         static_cast<gossip_kind>(fields.number(static_cast<std::uint64_t>(gossip_kind::SyncRest)));
@@ -188,7 +188,7 @@
     message.slice.index = static_cast<std::uint32_t>(fields.number(MaxTableSlices - 1));
     message.slice.count = static_cast<std::uint32_t>(fields.number(MaxTableSlices));
     message.hashes = fields.hashes();
-    message.cutShort = fields.flag();
+    message.truncated = fields.flag();
     const auto *updates = fields.next();
     if (!updates || !readUpdates(*updates, message.updates))
         return gossip_error::Malformed;
@@ -218,14 +218,14 @@
     out.pack(message.slice.index);
     out.pack(message.slice.count);
     packHashes(out, message.hashes);
-    out.pack(message.cutShort);
+    out.pack(message.truncated);
     out.pack_array(static_cast<std::uint32_t>(message.updates.size()));
     for (const auto &update : message.updates)
         packUpdate(out, update);
     return {bytes.data(), bytes.size()};
 }
 
-// The library throws on broken input, and its limits bound what it allocates before we look.
+// msgpack throws on malformed input. The limits bound what it allocates before validation.
 result<gossip_message, gossip_error> decodeGossip(std::string_view bytes)
 {
     if (bytes.size() > MaxGossipBytes)
--- a/src/core/membership/gossip_message.h
+++ b/src/core/membership/gossip_message.h
@@ -11,19 +11,20 @@
 #include <string_view>
 #include <vector>
 
-/// The datagrams of the membership protocol: typed messages and their MessagePack codec.
+/// Datagrams of the membership protocol: typed messages and their MessagePack codec.
 namespace orchidlead {
 
 enum class gossip_kind : std::uint8_t {
     Ping,
     Ack,
-    IndirectPing, ///< asks the receiver to probe `target`
-    IndirectAck, ///< `target` answered the receiver's helper
-    Nack, ///< `target` didn't answer the helper; the helper itself is well
+    IndirectPing, ///< requests a probe of `target` by the receiver
+    IndirectAck, ///< `target` answered the relay that sends this
+    Nack, ///< `target` did not answer the relay that sends this
     Gossip,
-    Sync, ///< hashes of the records that the sender has, of one slice of its table
-    SyncReply, ///< records of that slice that the receiver lacks, and hashes that the sender lacks
-    SyncRest, ///< records whose hashes the receiver lacked
+    Sync, ///< hashes of the sender's records in a slice of its table
+    /// Records of that slice that the receiver lacks, and hashes of records that the sender lacks.
+    SyncReply,
+    SyncRest, ///< the records requested by a `SyncReply`
 };
 
 template <>
@@ -39,7 +40,7 @@
     enum_name<gossip_kind>{gossip_kind::SyncRest, "sync_rest"},
 };
 
-/// What is claimed of a member; of one generation the greater value wins.
+/// Status of a member in an update. Within a generation, the greater value takes precedence.
 enum class member_status : std::uint8_t { Alive, Suspect, Dead };
 
 template <>
@@ -49,7 +50,7 @@
     enum_name<member_status>{member_status::Dead, "dead"},
 };
 
-/// Where an unlisted member lives.
+/// Location and address of a member, for receivers whose VM list lacks it.
 struct member_description
 {
     data_center_id dataCenter;
@@ -65,30 +66,30 @@
     return {vm.dataCenter, vm.region, vm.peerAddress, vm.capacity};
 }
 
-/// A claim about one member.
+/// State of a member as reported by some node.
 struct gossip_update
 {
     vm_id vm;
     orchidlead::incarnation incarnation = 0;
-    std::uint64_t generation = 0; ///< raised by the member itself to refute or to restart
+    std::uint64_t generation = 0; ///< raised by the member itself on restart and on refutation
     member_status status = member_status::Alive;
     bool leaving = false;
-    std::uint32_t accuser = 0; ///< short hash of who suspects
+    std::uint32_t suspectedBy = 0; ///< hash of a suspecting node
     std::optional<member_description> description;
 
     friend bool operator==(const gossip_update &, const gossip_update &) = default;
 };
 
-/// Ages of the VM list are not told apart beyond this.
+/// Upper bound of the sent age of the VM list; means this age, greater or unknown.
 inline constexpr milliseconds MaxListAge{600000};
 
-/// The records of a table whose hashes leave the same rest when divided by `count`.
+/// The records of a member table whose hash is `index` modulo `count`.
 struct table_slice
 {
     std::uint32_t index = 0;
     std::uint32_t count = 1;
 
-    [[nodiscard]] bool holds(std::uint32_t hash) const { return hash % count == index; }
+    [[nodiscard]] bool includes(std::uint32_t hash) const { return hash % count == index; }
 
     friend auto operator<=>(const table_slice &, const table_slice &) = default;
 };
@@ -97,18 +98,18 @@
 struct gossip_message
 {
     gossip_kind kind = gossip_kind::Gossip;
-    std::uint32_t sequence = 0; ///< joins answers to probes
-    gossip_update sender; ///< the sender's claim about itself
+    std::uint32_t sequence = 0; ///< matches answers to probes
+    gossip_update sender; ///< state of the sender itself
     configuration_stamp configuration;
-    std::uint32_t digest = 0; ///< of the sender's table
-    std::uint64_t listVersion = 0; ///< of the platform's VM list
-    milliseconds listAge{
-        MaxListAge}; ///< since the platform vouched for it; `MaxListAge`: longer or never
+    std::uint32_t digest = 0; ///< of the sender's member table
+    std::uint64_t listVersion = 0; ///< of the sender's VM list
+    /// Time since the platform last confirmed that list; `MaxListAge` if longer or never.
+    milliseconds listAge{MaxListAge};
     std::string application;
-    vm_id target; ///< of indirect probes
-    table_slice slice; ///< of synchronisation
-    std::vector<std::uint32_t> hashes; ///< of records in the slice; see `gossip_kind`
-    bool cutShort = false; ///< a reply: the receiver lacks more records than fitted
+    vm_id target; ///< of an indirect probe
+    table_slice slice; ///< that is synchronised
+    std::vector<std::uint32_t> hashes; ///< of records in `slice`; see `gossip_kind`
+    bool truncated = false; ///< in a reply: not all missing records fitted
     std::vector<gossip_update> updates;
 
     friend bool operator==(const gossip_message &, const gossip_message &) = default;
@@ -124,7 +125,7 @@
     enum_name<gossip_error>{gossip_error::TooLarge, "too_large"},
 };
 
-/// Bounds on what is read from a datagram.
+/// Bounds on a received datagram and its fields.
 inline constexpr std::size_t MaxGossipBytes = 1400;
 inline constexpr std::size_t MaxGossipUpdates = 64;
 inline constexpr std::size_t MaxGossipText = 64;
@@ -135,7 +136,7 @@
 [[nodiscard]] std::string encodeGossip(const gossip_message &message);
 [[nodiscard]] result<gossip_message, gossip_error> decodeGossip(std::string_view bytes);
 
-/// Gives the encoded size of one update.
+/// Returns the encoded size of an update in bytes.
 [[nodiscard]] std::size_t encodedSize(const gossip_update &update);
 
 } // namespace orchidlead
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-auto order(orchidlead::incarnation incarnation, std::uint64_t generation, member_status status)
+auto precedenceOf(orchidlead::incarnation incarnation, std::uint64_t generation,
+                  member_status status)
 {
     return std::make_tuple(generation, incarnation, status);
 }
@@ -50,12 +51,12 @@
     return found == m_records.end() ? nullptr : &found->second;
 }
 
-bool member_table::touch(const vm_id &vm, steady_time heard)
+bool member_table::touch(const vm_id &vm, steady_time receivedAt)
 {
     const auto found = m_records.find(vm);
     if (found == m_records.end())
         return false;
-    found->second.lastHeard = heard;
+    found->second.lastHeard = receivedAt;
     return true;
 }
 
@@ -74,15 +75,15 @@
 
 bool member_table::isNewer(const gossip_update &update, const member_record &record)
 {
-    const auto offered = order(update.incarnation, update.generation, update.status);
-    const auto known = order(record.incarnation, record.generation, record.status);
-    // A member that was never heard of starts as suspected: any word of its own is news.
+    const auto offered = precedenceOf(update.incarnation, update.generation, update.status);
+    const auto known = precedenceOf(record.incarnation, record.generation, record.status);
+    // A record without any update starts as suspected; the first update of the member replaces it.
     if (record.generation == 0 && update.generation > 0)
         return true;
     return offered > known || (offered == known && update.leaving && !record.leaving);
 }
 
-merge_effect member_table::merge(const gossip_update &update, std::size_t maxAccusers)
+merge_effect member_table::merge(const gossip_update &update, std::size_t maxSuspectingNodes)
 {
     const auto found = m_records.find(update.vm);
     if (found == m_records.end())
@@ -92,11 +93,11 @@
     if (!isNewer(update, *record)) {
         const bool same = suspicion && record->status == member_status::Suspect
             && update.generation == record->generation && update.incarnation == record->incarnation;
-        if (!same || record->accusers.size() >= maxAccusers)
+        if (!same || record->suspectingNodes.size() >= maxSuspectingNodes)
             return merge_effect::Older;
-        if (!record->accusers.insert(update.accuser).second)
+        if (!record->suspectingNodes.insert(update.suspectedBy).second)
             return merge_effect::Older;
-        record->lastAccuser = update.accuser;
+        record->lastSuspectingNode = update.suspectedBy;
         return merge_effect::Confirmed;
     }
     m_digest.reset();
@@ -106,10 +107,10 @@
     record->generation = update.generation;
     record->status = update.status;
     record->deadAt.reset();
-    record->accusers.clear();
+    record->suspectingNodes.clear();
     if (suspicion)
-        record->accusers.insert(update.accuser);
-    record->lastAccuser = update.accuser;
+        record->suspectingNodes.insert(update.suspectedBy);
+    record->lastSuspectingNode = update.suspectedBy;
     return merge_effect::Changed;
 }
 
@@ -121,22 +122,22 @@
     update.generation = record.generation;
     update.status = record.status;
     update.leaving = record.leaving;
-    update.accuser = record.status == member_status::Suspect ? record.lastAccuser : 0;
+    update.suspectedBy = record.status == member_status::Suspect ? record.lastSuspectingNode : 0;
     if (!record.listed)
         update.description = descriptionOf(record.vm);
     return update;
 }
 
-// Records of members that nobody has heard of, and of dead ones that are about to be forgotten,
-// differ between nodes for as long as their lists do; they are left out.
+// Excludes members without any update, and dead unlisted ones, which are removed soon. These differ
+// between nodes for as long as the VM lists differ.
 std::uint32_t member_table::digest() const
 {
     if (m_digest)
         return *m_digest;
     std::uint32_t sum = 0;
     for (const auto &[vm, record] : m_records) {
-        const bool passing = record.status == member_status::Dead && !record.listed;
-        if (record.generation > 0 && !passing)
+        const bool expiring = record.status == member_status::Dead && !record.listed;
+        if (record.generation > 0 && !expiring)
             sum ^= recordHash(record);
     }
     m_digest = sum;
@@ -160,7 +161,7 @@
         XXH64(words.data(), sizeof(words), XXH64(name.data(), name.size(), 0)));
 }
 
-std::uint32_t accuserHash(const vm_id &vm)
+std::uint32_t suspectingNodeHash(const vm_id &vm)
 {
     return static_cast<std::uint32_t>(XXH64(vm.value.data(), vm.value.size(), 0));
 }
--- a/src/core/membership/member_table.h
+++ b/src/core/membership/member_table.h
@@ -14,29 +14,30 @@
 
 namespace orchidlead {
 
-/// Everything that a node knows of one member.
+/// State of a member in this node's table.
 struct member_record
 {
     listed_vm vm;
     orchidlead::incarnation incarnation = 0;
-    std::uint64_t generation = 0; ///< 0: never heard of
+    std::uint64_t generation = 0; ///< 0: no update received yet
     member_status status = member_status::Suspect;
-    bool leaving = false; ///< said so itself
-    bool listed = false;
+    bool leaving = false; ///< announced by the member itself
+    bool listed = false; ///< on the platform's VM list
     steady_time lastHeard;
-    std::optional<steady_time> deadAt; ///< end of the suspicion, or since when it is dead
-    std::set<std::uint32_t> accusers;
-    std::uint32_t lastAccuser = 0;
+    /// Suspected: when the suspicion expires. Dead: since when.
+    std::optional<steady_time> deadAt;
+    std::set<std::uint32_t> suspectingNodes; ///< hashes of the nodes that suspect it
+    std::uint32_t lastSuspectingNode = 0;
 
     [[nodiscard]] member_state state() const;
     [[nodiscard]] member toMember() const;
 };
 
-/// What a claim did to the table.
+/// Effect of an update on the table.
 enum class merge_effect {
-    Older, ///< known already, or outdated
-    Changed, ///< worth passing on
-    Confirmed, ///< one more accuser of a member that was suspected already
+    Older, ///< already known or outdated
+    Changed, ///< new, to be gossiped
+    Confirmed, ///< from one more node that suspects a suspected member
 };
 
 template <>
@@ -46,8 +47,7 @@
     enum_name<merge_effect>{merge_effect::Confirmed, "confirmed"},
 };
 
-/// Holds the records of all members and merges claims into them; order and repetition of claims
-/// don't matter.
+/// Records of all members. Merging updates is independent of their order and of repetitions.
 class member_table
 {
 public:
@@ -55,25 +55,25 @@
 
     [[nodiscard]] const records &all() const { return m_records; }
     [[nodiscard]] const member_record *find(const vm_id &vm) const;
-    /// Finds who has that address; takes a pass over all.
+    /// Returns the member with this address; takes linear time.
     [[nodiscard]] const member_record *findAt(const socket_address &address) const;
-    /// Gives the record for changing; the digest is computed anew.
+    /// Returns the record for modification and invalidates the digest.
     [[nodiscard]] member_record *edit(const vm_id &vm);
-    /// Notes that a member was heard of; false where it isn't in the table.
-    bool touch(const vm_id &vm, steady_time heard);
+    /// Records when a datagram of a member was received. Returns false if it is not in the table.
+    bool touch(const vm_id &vm, steady_time receivedAt);
     member_record &add(member_record record);
     void erase(const vm_id &vm);
 
-    /// Merges a claim about a member that is in the table.
-    merge_effect merge(const gossip_update &update, std::size_t maxAccusers);
+    /// Merges an update; has no effect for a member that is not in the table.
+    merge_effect merge(const gossip_update &update, std::size_t maxSuspectingNodes);
 
-    /// Gives the claim that this node makes about a member.
+    /// Returns the update that this node sends about a member.
     [[nodiscard]] static gossip_update toUpdate(const member_record &record);
-    /// Tells whether a claim says more than the record.
+    /// Whether an update takes precedence over the record.
     [[nodiscard]] static bool isNewer(const gossip_update &update, const member_record &record);
 
-    /// Gives a hash that agrees between nodes whose tables agree. Suspicion is left out, for it
-    /// passes.
+    /// Returns a hash that is equal on nodes with equal tables. Excludes suspicions, since they are
+    /// temporary.
     [[nodiscard]] std::uint32_t digest() const;
     [[nodiscard]] std::size_t unlisted() const;
 
@@ -82,10 +82,10 @@
     mutable std::optional<std::uint32_t> m_digest;
 };
 
-/// Gives a hash that agrees between nodes that believe the same of a member, suspicion apart.
+/// Returns a hash that is equal on nodes with the same state of a member, suspicion excluded.
 [[nodiscard]] std::uint32_t recordHash(const member_record &record);
 
-/// Gives the short hash that names an accuser.
-[[nodiscard]] std::uint32_t accuserHash(const vm_id &vm);
+/// Returns the hash that identifies a suspecting node in updates.
+[[nodiscard]] std::uint32_t suspectingNodeHash(const vm_id &vm);
 
 } // namespace orchidlead
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -8,26 +8,26 @@
     : clock(source)
     , options(std::move(settings))
     , m_random(options.seed)
-    , m_allowance(options.gossipBytesPerSecond, options.gossipBurstBytes, source.now())
+    , m_gossipRateLimiter(options.gossipBytesPerSecond, options.gossipBurstBytes, source.now())
     , m_startedAt(source.now())
     , m_nextGossip(source.now())
     , m_nextSync(source.now())
-    , m_nextForget(source.now())
+    , m_nextRemoval(source.now())
     , m_syncInterval(options.syncInterval)
-    , m_syncAllowance(options.syncBytesPerSecond, options.syncBurstBytes, source.now())
+    , m_syncRateLimiter(options.syncBytesPerSecond, options.syncBurstBytes, source.now())
 {
     member_record own;
     own.vm = options.self;
     own.incarnation = options.incarnation;
-    // The time of day makes a later start's generation the greater one in the common case; clocks
-    // that are wrong are made up for in `applyToSelf`.
+    // The time of day gives a later process of this VM the greater generation, unless a clock is
+    // wrong; `applyToSelf` handles that case.
     const auto sinceEpoch = source.wallNow().time_since_epoch();
     own.generation =
         static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
     own.status = member_status::Alive;
     own.lastHeard = source.now();
     table.add(own);
-    m_news.add(options.self.vm);
+    m_gossipQueue.add(options.self.vm);
     m_local = {true, options.probeInterval, source.now(), {}, 0};
     m_remote = {false, options.remoteProbeInterval, source.now(), {}, 0};
 }
@@ -37,31 +37,32 @@
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(m_random);
 }
 
-// Both clocks are looked at: a machine that was suspended may have stopped the monotonic one.
+// Compares both clocks, since the monotonic one may stop while the machine is suspended.
 void membership::implementation::noticePause()
 {
     const auto now = clock.now();
     const auto wall = clock.wallNow();
     if (!m_lastInput) {
         m_lastInput = now;
-        m_lastWall = wall;
+        m_lastWallTime = wall;
         return;
     }
     const std::chrono::nanoseconds gap = now - *m_lastInput;
-    const std::chrono::nanoseconds wallGap = wall - m_lastWall;
+    const std::chrono::nanoseconds wallGap = wall - m_lastWallTime;
     const auto since = *m_lastInput;
     m_lastInput = now;
-    m_lastWall = wall;
+    m_lastWallTime = wall;
     const bool suspended = wallGap > gap + options.pauseThreshold;
     if (gap <= options.pauseThreshold && !suspended)
         return;
     counters.pauses++;
-    pausedSince = since;
+    lastPauseStart = since;
     emit(paused{std::max(gap, wallGap)});
-    // What was awaited came to nobody: it says nothing about the others. They may have given this
-    // node up, so its refutation goes first.
+    // A missing answer to a probe that was pending during the pause does not show that its target
+    // failed. Pending probes are therefore dropped, and suspicions are extended. Other members may
+    // consider this node dead, so it raises its generation to refute that before it probes.
     m_probes.clear();
-    m_relays.clear();
+    m_relayedProbes.clear();
     for (const auto &[vm, pending] : m_suspects) {
         auto *record = table.edit(vm);
         if (record && record->deadAt)
@@ -73,9 +74,9 @@
 
 void membership::implementation::setListed(std::uint64_t version, const std::vector<listed_vm> &vms)
 {
-    if (m_haveList && version < m_listVersion)
+    if (m_hasList && version < m_listVersion)
         return;
-    m_haveList = true;
+    m_hasList = true;
     m_listVersion = version;
     if (version > 0)
         listConfirmedAt = clock.now();
@@ -86,23 +87,23 @@
         listed.insert(vm.vm);
         addListed(vm);
     }
-    std::vector<vm_id> gone;
+    std::vector<vm_id> removed;
     for (const auto &[vm, record] : table.all()) {
         if (record.listed && !listed.contains(vm))
-            gone.push_back(vm);
+            removed.push_back(vm);
     }
-    for (const auto &vm : gone) {
+    for (const auto &vm : removed) {
         auto *record = table.edit(vm);
         const auto before = record->toMember();
         record->listed = false;
         reportChange(*record, before);
     }
-    dropUnlisted();
+    removeInactiveUnlisted();
 }
 
 void membership::implementation::confirmListed(std::uint64_t version)
 {
-    if (m_haveList && version == m_listVersion)
+    if (m_hasList && version == m_listVersion)
         listConfirmedAt = clock.now();
 }
 
@@ -110,10 +111,10 @@
 {
     auto *record = table.edit(vm.vm);
     if (!record) {
-        member_record fresh;
-        fresh.vm = vm;
-        fresh.listed = true;
-        reportChange(table.add(std::move(fresh)), std::nullopt);
+        member_record added;
+        added.vm = vm;
+        added.listed = true;
+        reportChange(table.add(std::move(added)), std::nullopt);
         return;
     }
     const auto before = record->toMember();
@@ -122,25 +123,26 @@
     reportChange(*record, before);
 }
 
-// Members that the list no longer has stay while they are heard of: the list lags, and may be
-// frozen. They take no roles.
-void membership::implementation::dropUnlisted()
+// Members that are no longer on the VM list are kept until they are dead, since the list lags and
+// may no longer be updated. They take no roles.
+void membership::implementation::removeInactiveUnlisted()
 {
-    std::vector<vm_id> gone;
+    std::vector<vm_id> removed;
     for (const auto &[vm, record] : table.all()) {
-        const bool silent = record.generation == 0 || record.status == member_status::Dead;
-        if (!record.listed && silent && !isSelf(vm))
-            gone.push_back(vm);
+        const bool inactive = record.generation == 0 || record.status == member_status::Dead;
+        if (!record.listed && inactive && !isSelf(vm))
+            removed.push_back(vm);
     }
-    for (const auto &vm : gone) {
+    for (const auto &vm : removed) {
         table.erase(vm);
-        m_news.remove(vm);
+        m_gossipQueue.remove(vm);
         m_suspects.erase(vm);
         emit(member_forgotten{vm});
     }
 }
 
-// A listed VM speaks from its listed address, an unlisted one from the address that it names.
+// A known member must send from its recorded address, an unknown one from the address in its own
+// description.
 bool membership::implementation::fromKnownAddress(const gossip_message &message,
                                                   const socket_address &from) const
 {
@@ -175,15 +177,15 @@
 
 void membership::implementation::handle(const gossip_message &message)
 {
-    apply(message.sender, news_source::Rumour);
+    apply(message.sender, update_source::Gossiped);
     if (!table.touch(message.sender.vm, clock.now()))
         return;
     const bool synchronises =
         message.kind == gossip_kind::SyncReply || message.kind == gossip_kind::SyncRest;
-    const auto source = synchronises ? news_source::Synchronisation : news_source::Rumour;
+    const auto source = synchronises ? update_source::Synchronised : update_source::Gossiped;
     const auto changes = m_changes;
     for (const auto &update : message.updates)
-        applyHearsay(update, source);
+        applyIndirect(update, source);
     reportPeer(message);
     switch (message.kind) {
     case gossip_kind::Ping:
@@ -215,18 +217,19 @@
         && pending->second.target == message.sender.vm;
     if (answers) {
         report.askedAt = pending->second.sentAt;
-        vouchForList(message, pending->second.sentAt);
+        updateListConfirmation(message, pending->second.sentAt);
     }
     emit(std::move(report));
 }
 
-// The age counts from when the question was sent: however long the answer lay in a buffer, it makes
-// the list older, never younger.
-void membership::implementation::vouchForList(const gossip_message &message, steady_time askedAt)
+// The age is subtracted from the time at which the probe was sent. An answer delayed in a buffer
+// can then only make the list seem older than it is, never newer.
+void membership::implementation::updateListConfirmation(const gossip_message &message,
+                                                        steady_time probeSentAt)
 {
     if (!listConfirmedAt || message.listVersion != m_listVersion || message.listAge >= MaxListAge)
         return;
-    listConfirmedAt = std::max(*listConfirmedAt, askedAt - message.listAge);
+    listConfirmedAt = std::max(*listConfirmedAt, probeSentAt - message.listAge);
 }
 
 void membership::implementation::tick()
@@ -237,10 +240,10 @@
     runRound(m_local);
     runRound(m_remote);
     checkProbes();
-    checkRelays();
-    checkSuspects();
+    expireRelayedProbes();
+    probeSuspects();
     expireSuspicions();
-    forgetDead();
+    removeExpired();
     gossip();
 }
 
@@ -349,9 +352,9 @@
     return record ? std::optional(record->toMember()) : std::nullopt;
 }
 
-std::optional<steady_time> membership::pausedSince() const
+std::optional<steady_time> membership::lastPauseStart() const
 {
-    return m_implementation->pausedSince;
+    return m_implementation->lastPauseStart;
 }
 
 const membership_counters &membership::counters() const
@@ -359,9 +362,9 @@
     return m_implementation->counters;
 }
 
-std::uint32_t membership::localHealth() const
+std::uint32_t membership::localHealthScore() const
 {
-    return m_implementation->health;
+    return m_implementation->healthScore;
 }
 
 } // namespace orchidlead
--- a/src/core/membership/membership_gossip.cpp
+++ b/src/core/membership/membership_gossip.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// Hashes in one question of synchronisation, about: 800 bytes.
-constexpr std::size_t SliceRecords = 200;
-/// Records that a reply asks for: as many as fit into two datagrams.
-constexpr std::size_t WantedAtOnce = 32;
-/// One in so many questions that follow each other goes anywhere, the others to the own data centre
-/// if it has members: bytes between data centres are dear.
-constexpr std::size_t RemoteSyncs = 4;
+/// Approximate number of hashes in a synchronisation request, which take 800 bytes.
+constexpr std::size_t RecordsPerSlice = 200;
+/// Records that a reply requests: as many as fit into two datagrams.
+constexpr std::size_t MaxRequestedRecords = 32;
+/// On average one in this many successive synchronisations is with any member; the others prefer
+/// members of this data centre, since traffic between data centres is expensive.
+constexpr std::size_t RemoteSyncPeriod = 4;
 
 } // namespace
 
@@ -36,29 +36,30 @@
     return message;
 }
 
-// What this node believes of the receiver goes first, so that a member which is suspected, or dead
-// for us, hears of it and can refute.
-void membership::implementation::addBelief(gossip_message &message, const member_record &receiver)
+// The state of the receiver comes first, so that a receiver that this node considers suspected or
+// dead can refute it.
+void membership::implementation::addReceiverState(gossip_message &message,
+                                                  const member_record &receiver)
 {
     if (receiver.generation > 0 && receiver.status != member_status::Alive)
         message.updates.push_back(member_table::toUpdate(receiver));
 }
 
-void membership::implementation::addNews(gossip_message &message, const vm_id &to)
+void membership::implementation::addQueuedUpdates(gossip_message &message, const vm_id &to)
 {
     if (const auto *receiver = table.find(to))
-        addBelief(message, *receiver);
-    if (m_news.empty() || !m_allowance.open(clock.now()))
+        addReceiverState(message, *receiver);
+    if (m_gossipQueue.empty() || !m_gossipRateLimiter.canSend(clock.now()))
         return;
     std::size_t bytes = 0;
-    for (const auto &vm : m_news.take(options.maxUpdates, newsLimit())) {
+    for (const auto &vm : m_gossipQueue.take(options.maxUpdates, transmitLimit())) {
         const auto *record = table.find(vm);
         if (!record || vm == to || isSelf(vm))
             continue;
         message.updates.push_back(member_table::toUpdate(*record));
         bytes += encodedSize(message.updates.back());
     }
-    m_allowance.spend(bytes);
+    m_gossipRateLimiter.consume(bytes);
 }
 
 std::size_t membership::implementation::send(const socket_address &to,
@@ -79,11 +80,11 @@
     const auto *record = table.find(vm);
     if (!record)
         return;
-    // A process that has just started may have no list, because the platform can't be reached: it
-    // learns from whoever probes it.
+    // A process that has just started may lack a VM list if the platform is unreachable. It gets
+    // the descriptions of other members from their probes.
     if (record->generation == 0 || record->status == member_status::Dead)
         describeSelf(message);
-    addNews(message, vm);
+    addQueuedUpdates(message, vm);
     send(record->vm.peerAddress, message);
 }
 
@@ -92,41 +93,41 @@
     message.sender.description = descriptionOf(options.self);
 }
 
-// Who is taken for dead here hears of it, and refutes it with the answer.
+// A member that this node considers dead receives that state and refutes it in its answer.
 void membership::implementation::contact(const std::vector<socket_address> &addresses)
 {
     for (const auto &address : addresses) {
         auto message = makeMessage(gossip_kind::Ping, ++m_sequence);
         describeSelf(message);
         if (const auto *known = table.findAt(address))
-            addBelief(message, *known);
+            addReceiverState(message, *known);
         send(address, message);
     }
 }
 
-// Between probes, news goes to a few members at once; without news nothing is sent. Every second
-// datagram stays in the data centre.
+// Between probes, queued updates are sent to a few members at a time. Half of them prefer members
+// of this data centre.
 void membership::implementation::gossip()
 {
     const auto now = clock.now();
     if (now < m_nextGossip)
         return;
     m_nextGossip = now + options.gossipInterval;
-    if (m_news.empty())
+    if (m_gossipQueue.empty())
         return;
-    if (!m_allowance.open(now)) {
-        counters.heldBack++;
+    if (!m_gossipRateLimiter.canSend(now)) {
+        counters.rateLimited++;
         return;
     }
     std::vector<vm_id> receivers = pickMembers(options.gossipFanout / 2, true, vm_id{});
     for (const auto &vm : pickMembers(options.gossipFanout - receivers.size(), false, vm_id{}))
         receivers.push_back(vm);
     for (const auto &vm : receivers) {
-        if (m_news.empty())
+        if (m_gossipQueue.empty())
             break;
         auto message = makeMessage(gossip_kind::Gossip, 0);
-        addNews(message, vm);
-        m_allowance.spend(send(table.find(vm)->vm.peerAddress, message));
+        addQueuedUpdates(message, vm);
+        m_gossipRateLimiter.consume(send(table.find(vm)->vm.peerAddress, message));
     }
 }
 
@@ -139,59 +140,59 @@
     sync(message.sender.vm);
 }
 
-// The hashes of a table are a tenth of it. So tables that differ little cost little, and each
-// record goes over the wire about once for each node that lacks it.
-void membership::implementation::sync(const vm_id &with)
+// The hashes take a tenth of the bytes of the records. Tables that differ little are therefore
+// cheap to synchronise, and each record is sent about once to each node that lacks it.
+void membership::implementation::sync(const vm_id &peer)
 {
-    const auto *partner = table.find(with);
+    const auto *partner = table.find(peer);
     if (!partner)
         return;
-    if (!m_syncAllowance.open(clock.now())) {
-        counters.heldBack++;
+    if (!m_syncRateLimiter.canSend(clock.now())) {
+        counters.rateLimited++;
         return;
     }
     auto message = makeMessage(gossip_kind::Sync, 0);
-    const auto count = 1 + table.all().size() / SliceRecords;
+    const auto count = 1 + table.all().size() / RecordsPerSlice;
     message.slice.count = static_cast<std::uint32_t>(std::min<std::size_t>(count, MaxTableSlices));
     message.slice.index = m_syncSlice % message.slice.count;
     for (const auto &[vm, record] : table.all()) {
         if (record.generation == 0 || message.hashes.size() >= MaxGossipHashes)
             continue;
-        if (const auto hash = recordHash(record); message.slice.holds(hash))
+        if (const auto hash = recordHash(record); message.slice.includes(hash))
             message.hashes.push_back(hash);
     }
-    m_syncAllowance.spend(send(partner->vm.peerAddress, message));
+    m_syncRateLimiter.consume(send(partner->vm.peerAddress, message));
 }
 
-// What is lacked is sent in a drawn order: nodes that start together ask the same few peers, and
-// can then get the rest from each other.
+// Missing records are sent in random order. Nodes that start together synchronise with the same few
+// peers, and can then get the remaining records from each other.
 void membership::implementation::onSync(const gossip_message &message)
 {
-    if (!m_syncAllowance.open(clock.now())) {
-        counters.heldBack++;
+    if (!m_syncRateLimiter.canSend(clock.now())) {
+        counters.rateLimited++;
         return;
     }
-    std::unordered_set<std::uint32_t> wanted(message.hashes.begin(), message.hashes.end());
-    std::vector<const member_record *> lacked;
+    std::unordered_set<std::uint32_t> requested(message.hashes.begin(), message.hashes.end());
+    std::vector<const member_record *> missing;
     for (const auto &[vm, record] : table.all()) {
         const auto hash = recordHash(record);
-        if (record.generation == 0 || !message.slice.holds(hash))
+        if (record.generation == 0 || !message.slice.includes(hash))
             continue;
-        if (wanted.erase(hash) == 0)
-            lacked.push_back(&record);
+        if (requested.erase(hash) == 0)
+            missing.push_back(&record);
     }
-    std::shuffle(lacked.begin(), lacked.end(), m_random);
+    std::shuffle(missing.begin(), missing.end(), m_random);
     auto reply = makeMessage(gossip_kind::SyncReply, 0);
     reply.slice = message.slice;
-    for (const auto hash : wanted) {
-        if (reply.hashes.size() < WantedAtOnce)
+    for (const auto hash : requested) {
+        if (reply.hashes.size() < MaxRequestedRecords)
             reply.hashes.push_back(hash);
     }
-    reply.cutShort = addRecords(reply, lacked) < lacked.size();
-    m_syncAllowance.spend(send(table.find(message.sender.vm)->vm.peerAddress, reply));
+    reply.truncated = addRecords(reply, missing) < missing.size();
+    m_syncRateLimiter.consume(send(table.find(message.sender.vm)->vm.peerAddress, reply));
 }
 
-// Members that the receiver lacks may not be on its list: each comes with its description.
+// A member that the receiver lacks may not be on its VM list, so each record has a description.
 std::size_t
 membership::implementation::addRecords(gossip_message &message,
                                        std::span<const member_record *const> records) const
@@ -208,37 +209,37 @@
     return message.updates.size();
 }
 
-void membership::implementation::sendWanted(const gossip_message &message)
+void membership::implementation::sendRequested(const gossip_message &message)
 {
-    const std::unordered_set<std::uint32_t> wanted(message.hashes.begin(), message.hashes.end());
+    const std::unordered_set<std::uint32_t> requested(message.hashes.begin(), message.hashes.end());
     std::vector<const member_record *> records;
     for (const auto &[vm, record] : table.all()) {
-        if (record.generation > 0 && wanted.contains(recordHash(record)))
+        if (record.generation > 0 && requested.contains(recordHash(record)))
             records.push_back(&record);
     }
-    std::span<const member_record *const> left = records;
-    while (!left.empty() && m_syncAllowance.open(clock.now())) {
+    std::span<const member_record *const> remaining = records;
+    while (!remaining.empty() && m_syncRateLimiter.canSend(clock.now())) {
         auto rest = makeMessage(gossip_kind::SyncRest, 0);
-        const auto sent = addRecords(rest, left);
+        const auto sent = addRecords(rest, remaining);
         if (sent == 0)
             return;
-        left = left.subspan(sent);
-        m_syncAllowance.spend(send(table.find(message.sender.vm)->vm.peerAddress, rest));
+        remaining = remaining.subspan(sent);
+        m_syncRateLimiter.consume(send(table.find(message.sender.vm)->vm.peerAddress, rest));
     }
 }
 
-// While there is more to learn the next question goes out at once, to another member, so that no
-// one answers them all. A walk through all slices that brought nothing is repeated ever less often:
-// lists that differ make tables differ for good.
-void membership::implementation::onSyncReply(const gossip_message &message, bool learnt)
+// While a reply changes the table or was truncated, the next synchronisation starts at once, with
+// another member to spread the load. A pass over all slices without a change doubles the interval,
+// since tables differ permanently where VM lists differ.
+void membership::implementation::onSyncReply(const gossip_message &message, bool tableChanged)
 {
-    constexpr int MaxSlowdown = 16;
+    constexpr int MaxSyncBackoff = 16;
     if (!message.hashes.empty())
-        sendWanted(message);
-    if (learnt || message.cutShort) {
+        sendRequested(message);
+    if (tableChanged || message.truncated) {
         m_syncInterval = options.syncInterval;
         m_nextSync = clock.now() + m_syncInterval;
-        const auto next = pickMembers(1, random(RemoteSyncs) > 0, vm_id{});
+        const auto next = pickMembers(1, random(RemoteSyncPeriod) > 0, vm_id{});
         sync(next.empty() ? message.sender.vm : next.front());
         return;
     }
@@ -246,15 +247,15 @@
     if (m_syncSlice % message.slice.count != 0 && message.digest != table.digest())
         sync(message.sender.vm);
     else
-        m_syncInterval = std::min(m_syncInterval * 2, options.syncInterval * MaxSlowdown);
+        m_syncInterval = std::min(m_syncInterval * 2, options.syncInterval * MaxSyncBackoff);
 }
 
 void membership::implementation::announce()
 {
     std::vector<socket_address> receivers;
     for (const auto &[vm, record] : table.all()) {
-        const bool here = record.vm.dataCenter == options.self.dataCenter;
-        if (here && !isSelf(vm) && record.status != member_status::Dead)
+        const bool isLocal = record.vm.dataCenter == options.self.dataCenter;
+        if (isLocal && !isSelf(vm) && record.status != member_status::Dead)
             receivers.push_back(record.vm.peerAddress);
     }
     const auto message = makeMessage(gossip_kind::Gossip, 0);
--- a/src/core/membership/membership_implementation.h
+++ b/src/core/membership/membership_implementation.h
@@ -18,14 +18,15 @@
 #include <utility>
 #include <vector>
 
-/// The inside of `membership`: its timers, probes and rounds. Defined in membership.cpp (list,
-/// pauses, dispatch), membership_probes.cpp, membership_claims.cpp and membership_gossip.cpp.
+/// Implementation of `membership`. Defined in membership.cpp (VM list, pauses, dispatch),
+/// membership_probes.cpp, membership_updates.cpp and membership_gossip.cpp.
 namespace orchidlead {
 
-/// Bytes that IP and UDP put before each datagram; counted, since the budget is for the wire.
+/// IP and UDP headers of a datagram; included in byte counts and rate limits, which apply to the
+/// traffic on the network.
 inline constexpr std::size_t DatagramHeaderBytes = 28;
 
-/// A round of probes over one group of members, in an order that is shuffled anew each time.
+/// Round-robin probing of a group of members, in an order that is shuffled for each round.
 struct probe_round
 {
     bool local = true;
@@ -35,53 +36,53 @@
     std::size_t index = 0;
 };
 
-/// What a probe is for.
+/// Purpose of a probe.
 enum class probe_kind {
-    First,
-    Second, ///< after a first one that failed; only then is the member suspected
-    Extra, ///< asks for an answer; its failure means nothing
+    Initial,
+    Retry, ///< after a failed initial one; its failure makes the target suspected
+    Extra, ///< outside the rounds; its failure has no effect
 };
 
 template <>
 inline constexpr std::array enumNames<probe_kind>{
-    enum_name<probe_kind>{probe_kind::First, "first"},
-    enum_name<probe_kind>{probe_kind::Second, "second"},
+    enum_name<probe_kind>{probe_kind::Initial, "first"},
+    enum_name<probe_kind>{probe_kind::Retry, "second"},
     enum_name<probe_kind>{probe_kind::Extra, "extra"},
 };
 
-/// A probe whose answer is awaited.
+/// A pending probe.
 struct probe
 {
     vm_id target;
     steady_time sentAt;
-    steady_time indirectAt; ///< when others are asked
+    steady_time indirectAt; ///< when indirect probes are requested
     steady_time deadline;
-    probe_kind kind = probe_kind::First;
-    std::size_t helpers = 0;
+    probe_kind kind = probe_kind::Initial;
+    std::size_t relays = 0;
     std::size_t nacks = 0;
 };
 
-/// A member that is suspected, by whomever.
+/// Check of a suspected member by this node.
 struct suspicion
 {
-    steady_time checkAt; ///< when this node asks the member itself
-    bool checked = false;
+    steady_time probeAt; ///< when this node probes the member
+    bool probed = false;
 };
 
-/// Where a claim comes from.
-enum class news_source {
-    Rumour, ///< told to a few members, who tell others
-    Synchronisation, ///< which brings the same to everybody who lacks it
+/// How an update was received.
+enum class update_source {
+    Gossiped, ///< by gossip, which each receiver forwards to a few members
+    Synchronised, ///< by table synchronisation, which reaches all nodes that lack the update
 };
 
 template <>
-inline constexpr std::array enumNames<news_source>{
-    enum_name<news_source>{news_source::Rumour, "rumour"},
-    enum_name<news_source>{news_source::Synchronisation, "synchronisation"},
+inline constexpr std::array enumNames<update_source>{
+    enum_name<update_source>{update_source::Gossiped, "rumour"},
+    enum_name<update_source>{update_source::Synchronised, "synchronisation"},
 };
 
-/// A probe made for another member.
-struct relay
+/// A pending probe on behalf of another member.
+struct relayed_probe
 {
     vm_id requester;
     std::uint32_t requesterSequence = 0;
@@ -105,7 +106,7 @@
     void announceLeaving();
     void announceStopped();
 
-    /// Collects the actions of one input.
+    /// Sets where the actions of the current input are appended.
     void collectInto(membership_actions &out) { m_out = &out; }
 
     const clock_source &clock;
@@ -114,9 +115,9 @@
     membership_counters counters;
     configuration_stamp configuration;
     std::string application;
-    std::optional<steady_time> pausedSince;
+    std::optional<steady_time> lastPauseStart;
     std::optional<steady_time> listConfirmedAt;
-    std::uint32_t health = 0;
+    std::uint32_t healthScore = 0;
 
 private:
     template <class Action>
@@ -128,33 +129,33 @@
     [[nodiscard]] member_record &self() { return *table.edit(options.self.vm); }
     [[nodiscard]] const member_record &self() const { return *table.find(options.self.vm); }
     [[nodiscard]] bool isSelf(const vm_id &vm) const { return vm == options.self.vm; }
-    [[nodiscard]] milliseconds scaled(milliseconds time) const { return time * (health + 1); }
+    [[nodiscard]] milliseconds scaled(milliseconds time) const { return time * (healthScore + 1); }
     [[nodiscard]] std::size_t random(std::size_t bound);
-    [[nodiscard]] std::uint32_t newsLimit() const
+    [[nodiscard]] std::uint32_t transmitLimit() const
     {
-        return retransmitLimit(table.all().size(), m_news.size());
+        return retransmitLimit(table.all().size(), m_gossipQueue.size());
     }
 
     void addListed(const listed_vm &vm);
-    void dropUnlisted();
+    void removeInactiveUnlisted();
     void reportChange(const member_record &record, const std::optional<member> &before);
     void raiseGeneration(std::uint64_t above);
 
     [[nodiscard]] bool fromKnownAddress(const gossip_message &message,
                                         const socket_address &from) const;
-    bool admit(const gossip_update &update);
-    void apply(const gossip_update &update, news_source source);
-    void applyHearsay(const gossip_update &update, news_source source);
+    bool addUnlisted(const gossip_update &update);
+    void apply(const gossip_update &update, update_source source);
+    void applyIndirect(const gossip_update &update, update_source source);
     void applyToSelf(const gossip_update &update);
     void startSuspicion(member_record &record);
     void suspect(const vm_id &vm);
-    void checkSuspects();
+    void probeSuspects();
     void expireSuspicions();
-    void forgetDead();
+    void removeExpired();
 
     [[nodiscard]] gossip_message makeMessage(gossip_kind kind, std::uint32_t sequence) const;
-    void addNews(gossip_message &message, const vm_id &to);
-    static void addBelief(gossip_message &message, const member_record &receiver);
+    void addQueuedUpdates(gossip_message &message, const vm_id &to);
+    static void addReceiverState(gossip_message &message, const member_record &receiver);
     std::size_t send(const socket_address &to, const gossip_message &message);
     void sendTo(const vm_id &vm, gossip_message message);
     void describeSelf(gossip_message &message) const;
@@ -164,54 +165,54 @@
     void onAck(const gossip_message &message);
     void onIndirectPing(const gossip_message &message);
     void onSync(const gossip_message &message);
-    void onSyncReply(const gossip_message &message, bool learnt);
+    void onSyncReply(const gossip_message &message, bool tableChanged);
     void reportPeer(const gossip_message &message);
-    void vouchForList(const gossip_message &message, steady_time askedAt);
-    void relayAnswer(std::uint32_t sequence, gossip_kind kind);
+    void updateListConfirmation(const gossip_message &message, steady_time probeSentAt);
+    void sendRelayedAnswer(std::uint32_t sequence, gossip_kind kind);
 
     void runRound(probe_round &round);
-    /// By how much more than its interval a round waits between two probes.
-    [[nodiscard]] std::uint32_t slowdownOf(const probe_round &round) const;
+    /// Returns the factor by which the interval between probes is multiplied.
+    [[nodiscard]] std::uint32_t intervalFactor(const probe_round &round) const;
     std::optional<vm_id> nextTarget(probe_round &round);
     void startProbe(const vm_id &target, probe_kind kind);
     void checkProbes();
-    void askHelpers(std::uint32_t sequence, probe &pending);
-    void failProbe(const probe &pending);
-    void checkRelays();
+    void requestIndirectProbes(std::uint32_t sequence, probe &pending);
+    void handleFailedProbe(const probe &pending);
+    void expireRelayedProbes();
     void gossip();
     [[nodiscard]] std::vector<vm_id> pickMembers(std::size_t count, bool localFirst,
                                                  const vm_id &except);
     void maybeSync(const gossip_message &message);
-    void sync(const vm_id &with);
-    /// Adds as many records as fit; gives how many did.
+    void sync(const vm_id &peer);
+    /// Adds as many records as fit. Returns their number.
     std::size_t addRecords(gossip_message &message,
                            std::span<const member_record *const> records) const;
-    void sendWanted(const gossip_message &message);
+    void sendRequested(const gossip_message &message);
 
     membership_actions *m_out = nullptr;
     std::mt19937_64 m_random;
-    gossip_queue m_news;
-    byte_allowance m_allowance;
+    gossip_queue m_gossipQueue;
+    byte_rate_limiter m_gossipRateLimiter;
     probe_round m_local;
     probe_round m_remote;
     std::map<std::uint32_t, probe> m_probes;
-    std::map<std::uint32_t, relay> m_relays;
+    std::map<std::uint32_t, relayed_probe> m_relayedProbes;
     std::map<vm_id, suspicion> m_suspects;
     std::uint32_t m_sequence = 0;
     std::uint64_t m_listVersion = 0;
-    bool m_haveList = false;
+    bool m_hasList = false;
     bool m_stopped = false;
-    bool m_toldSuperseded = false;
+    bool m_supersededReported = false;
     steady_time m_startedAt;
     std::optional<steady_time> m_lastInput;
-    wall_time m_lastWall;
+    wall_time m_lastWallTime;
     steady_time m_nextGossip;
     steady_time m_nextSync;
-    steady_time m_nextForget;
+    steady_time m_nextRemoval;
     milliseconds m_syncInterval;
-    byte_allowance m_syncAllowance;
-    std::uint32_t m_syncSlice = 0; ///< that is asked for next
-    std::uint64_t m_changes = 0; ///< counts the claims that changed the table
+    byte_rate_limiter m_syncRateLimiter;
+    std::uint32_t m_syncSlice = 0; ///< slice of the next request, modulo the number of slices
+    std::uint64_t m_changes = 0; ///< number of updates that changed the table
 };
 
 } // namespace orchidlead
--- a/src/core/membership/membership_probes.cpp
+++ b/src/core/membership/membership_probes.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Helpers' probes kept at a time; beyond, requests are dropped.
-constexpr std::size_t MaxRelays = 256;
+/// Bound on pending probes for other members; further requests are dropped.
+constexpr std::size_t MaxRelayedProbes = 256;
 
 } // namespace
 
 void membership::implementation::onPing(const gossip_message &message)
 {
     auto ack = makeMessage(gossip_kind::Ack, message.sequence);
-    // Who introduces itself may know nothing of this node either.
+    // A sender that describes itself may lack the description of this node too.
     if (message.sender.description)
         describeSelf(ack);
     sendTo(message.sender.vm, std::move(ack));
@@ -27,11 +27,12 @@
     const vm_id &answering = indirect ? message.target : message.sender.vm;
     const auto pending = m_probes.find(message.sequence);
     if (pending != m_probes.end() && pending->second.target == answering) {
-        if (!indirect && clock.now() <= pending->second.sentAt + options.probeTimeout && health > 0)
-            health--;
+        if (!indirect && clock.now() <= pending->second.sentAt + options.probeTimeout
+            && healthScore > 0)
+            healthScore--;
         m_probes.erase(pending);
     }
-    relayAnswer(message.sequence, gossip_kind::IndirectAck);
+    sendRelayedAnswer(message.sequence, gossip_kind::IndirectAck);
     if (!indirect)
         maybeSync(message);
 }
@@ -39,39 +40,39 @@
 void membership::implementation::onIndirectPing(const gossip_message &message)
 {
     const auto *target = table.find(message.target);
-    if (!target || isSelf(message.target) || m_relays.size() >= MaxRelays)
+    if (!target || isSelf(message.target) || m_relayedProbes.size() >= MaxRelayedProbes)
         return;
     const std::uint32_t sequence = ++m_sequence;
-    m_relays[sequence] = {message.sender.vm, message.sequence, message.target,
-                          clock.now() + scaled(options.probeTimeout)};
+    m_relayedProbes[sequence] = {message.sender.vm, message.sequence, message.target,
+                                 clock.now() + scaled(options.probeTimeout)};
     sendTo(message.target, makeMessage(gossip_kind::Ping, sequence));
 }
 
-void membership::implementation::relayAnswer(std::uint32_t sequence, gossip_kind kind)
+void membership::implementation::sendRelayedAnswer(std::uint32_t sequence, gossip_kind kind)
 {
-    const auto found = m_relays.find(sequence);
-    if (found == m_relays.end())
+    const auto found = m_relayedProbes.find(sequence);
+    if (found == m_relayedProbes.end())
         return;
-    const relay done = found->second;
-    m_relays.erase(found);
-    auto answer = makeMessage(kind, done.requesterSequence);
-    answer.target = done.target;
-    sendTo(done.requester, std::move(answer));
+    const relayed_probe answered = found->second;
+    m_relayedProbes.erase(found);
+    auto answer = makeMessage(kind, answered.requesterSequence);
+    answer.target = answered.target;
+    sendTo(answered.requester, std::move(answer));
 }
 
-void membership::implementation::checkRelays()
+void membership::implementation::expireRelayedProbes()
 {
-    std::vector<std::uint32_t> late;
-    for (const auto &[sequence, pending] : m_relays) {
+    std::vector<std::uint32_t> expired;
+    for (const auto &[sequence, pending] : m_relayedProbes) {
         if (clock.now() >= pending.deadline)
-            late.push_back(sequence);
+            expired.push_back(sequence);
     }
-    for (const auto sequence : late)
-        relayAnswer(sequence, gossip_kind::Nack);
+    for (const auto sequence : expired)
+        sendRelayedAnswer(sequence, gossip_kind::Nack);
 }
 
-// Dead members stay in the round as long as they are listed: that is how two sides of a cut find
-// each other again.
+// Dead members are still probed while they are listed, so that the two sides of a network partition
+// rejoin after it heals.
 std::optional<vm_id> membership::implementation::nextTarget(probe_round &round)
 {
     for (int pass = 0; pass < 2; ++pass) {
@@ -84,8 +85,8 @@
         round.order.clear();
         round.index = 0;
         for (const auto &[vm, record] : table.all()) {
-            const bool here = record.vm.dataCenter == options.self.dataCenter;
-            if (!isSelf(vm) && here == round.local)
+            const bool isLocal = record.vm.dataCenter == options.self.dataCenter;
+            if (!isSelf(vm) && isLocal == round.local)
                 round.order.push_back(vm);
         }
         std::shuffle(round.order.begin(), round.order.end(), m_random);
@@ -93,13 +94,13 @@
     return std::nullopt;
 }
 
-std::uint32_t membership::implementation::slowdownOf(const probe_round &round) const
+std::uint32_t membership::implementation::intervalFactor(const probe_round &round) const
 {
     if (round.local)
         return 1;
-    const auto crowd = round.order.size() / std::max<std::size_t>(1, options.remoteProbesInFull);
-    return std::clamp(static_cast<std::uint32_t>(crowd), 1U,
-                      std::max(1U, options.maxRemoteSlowdown));
+    const auto ratio = round.order.size() / std::max<std::size_t>(1, options.remoteProbesInFull);
+    return std::clamp(static_cast<std::uint32_t>(ratio), 1U,
+                      std::max(1U, options.maxRemoteIntervalFactor));
 }
 
 void membership::implementation::runRound(probe_round &round)
@@ -107,9 +108,9 @@
     const auto now = clock.now();
     if (now < round.next)
         return;
-    round.next = now + scaled(round.interval) * slowdownOf(round);
+    round.next = now + scaled(round.interval) * intervalFactor(round);
     if (const auto target = nextTarget(round))
-        startProbe(*target, probe_kind::First);
+        startProbe(*target, probe_kind::Initial);
 }
 
 void membership::implementation::startProbe(const vm_id &target, probe_kind kind)
@@ -123,7 +124,7 @@
     pending.indirectAt = now + scaled(options.probeTimeout);
     pending.deadline = now + scaled(options.probeInterval);
     pending.kind = kind;
-    // Helpers don't try what is given up already, nor where the answer alone is wanted.
+    // No indirect probes of dead members, nor for probes whose failure has no effect.
     if (kind == probe_kind::Extra || record->status == member_status::Dead)
         pending.indirectAt = steady_time::max();
     m_probes[sequence] = pending;
@@ -140,62 +141,63 @@
             failed.push_back(sequence);
         } else if (now >= pending.indirectAt) {
             pending.indirectAt = steady_time::max();
-            askHelpers(sequence, pending);
+            requestIndirectProbes(sequence, pending);
         }
     }
     for (const auto sequence : failed) {
         const probe pending = m_probes[sequence];
         m_probes.erase(sequence);
-        failProbe(pending);
+        handleFailedProbe(pending);
     }
 }
 
-// Helpers from the own data centre tell whether this node is the slow one; those beside the target
-// tell whether only the path is broken.
-void membership::implementation::askHelpers(std::uint32_t sequence, probe &pending)
+// Relays in this data centre show whether this node is the slow one. Relays in the target's data
+// centre show whether only the network path is broken.
+void membership::implementation::requestIndirectProbes(std::uint32_t sequence, probe &pending)
 {
-    std::vector<vm_id> helpers;
+    std::vector<vm_id> relays;
     const auto *target = table.find(pending.target);
     for (const auto &[vm, record] : table.all()) {
-        const bool beside = target && record.vm.dataCenter == target->vm.dataCenter;
+        const bool sameDataCenter = target && record.vm.dataCenter == target->vm.dataCenter;
         const bool usable = record.state() == member_state::Alive && vm != pending.target;
-        if (beside && usable && !isSelf(vm))
-            helpers.push_back(vm);
+        if (sameDataCenter && usable && !isSelf(vm))
+            relays.push_back(vm);
     }
-    std::shuffle(helpers.begin(), helpers.end(), m_random);
+    std::shuffle(relays.begin(), relays.end(), m_random);
     const bool local = target && target->vm.dataCenter == options.self.dataCenter;
-    helpers.resize(std::min<std::size_t>(helpers.size(), local ? options.indirectProbes : 1));
+    relays.resize(std::min<std::size_t>(relays.size(), local ? options.indirectProbes : 1));
     for (const auto &vm : pickMembers(options.indirectProbes, true, pending.target)) {
-        const bool known = std::find(helpers.begin(), helpers.end(), vm) != helpers.end();
-        if (helpers.size() < options.indirectProbes && !known)
-            helpers.push_back(vm);
+        const bool alreadyPicked = std::find(relays.begin(), relays.end(), vm) != relays.end();
+        if (relays.size() < options.indirectProbes && !alreadyPicked)
+            relays.push_back(vm);
     }
-    // One more try of its own: on a lossy path it is worth as much as a helper's.
+    // Repeats the direct probe, which on a lossy path is as useful as an indirect one.
     sendTo(pending.target, makeMessage(gossip_kind::Ping, sequence));
-    for (const auto &vm : helpers) {
+    for (const auto &vm : relays) {
         auto message = makeMessage(gossip_kind::IndirectPing, sequence);
         message.target = pending.target;
         sendTo(vm, std::move(message));
     }
-    pending.helpers = helpers.size();
+    pending.relays = relays.size();
 }
 
-void membership::implementation::failProbe(const probe &pending)
+void membership::implementation::handleFailedProbe(const probe &pending)
 {
     const auto *record = table.find(pending.target);
-    const bool counts = record && record->status != member_status::Dead;
-    if (!counts || pending.kind == probe_kind::Extra)
+    const bool relevant = record && record->status != member_status::Dead;
+    if (!relevant || pending.kind == probe_kind::Extra)
         return;
     counters.failedProbes++;
-    // No helper answered either: the fault is likely on this side.
-    if (pending.helpers > 0 && pending.nacks == 0)
-        health = std::min(health + 1, options.maxHealth);
-    // One failure in a row is common on a lossy network, and each suspicion costs the whole fleet
-    // datagrams; a member that was never heard of isn't known to be there at all.
-    if (pending.kind == probe_kind::Second || record->status == member_status::Suspect)
+    // No relay answered either, so the fault is probably on this node.
+    if (pending.relays > 0 && pending.nacks == 0)
+        healthScore = std::min(healthScore + 1, options.maxHealthScore);
+    // A single failed probe is common on a lossy network, and each suspicion costs datagrams on all
+    // nodes, so the probe is repeated first. A member without any update counts as suspected
+    // already.
+    if (pending.kind == probe_kind::Retry || record->status == member_status::Suspect)
         suspect(pending.target);
     else
-        startProbe(pending.target, probe_kind::Second);
+        startProbe(pending.target, probe_kind::Retry);
 }
 
 std::vector<vm_id> membership::implementation::pickMembers(std::size_t count, bool localFirst,
@@ -203,16 +205,16 @@
 {
     std::vector<std::pair<bool, vm_id>> candidates;
     for (const auto &[vm, record] : table.all()) {
-        const bool away = record.vm.dataCenter != options.self.dataCenter;
+        const bool isRemote = record.vm.dataCenter != options.self.dataCenter;
         if (isSelf(vm) || vm == except || record.status == member_status::Dead)
             continue;
-        candidates.emplace_back(localFirst && away, vm);
+        candidates.emplace_back(localFirst && isRemote, vm);
     }
     std::shuffle(candidates.begin(), candidates.end(), m_random);
     std::stable_sort(candidates.begin(), candidates.end(),
                      [](const auto &left, const auto &right) { return left.first < right.first; });
     std::vector<vm_id> picked;
-    for (const auto &[away, vm] : candidates) {
+    for (const auto &[isRemote, vm] : candidates) {
         if (picked.size() >= count)
             break;
         picked.push_back(vm);
--- a/src/core/membership/membership_claims.cpp
+++ b/src/core/membership/membership_updates.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// Probes that may be pending when another one is begun on hearsay.
-constexpr std::size_t MaxVerifications = 16;
+/// Bound on pending probes, above which no probe is sent to verify a reported death.
+constexpr std::size_t MaxProbesToVerify = 16;
 
-/// Suspects are asked between one and two of these parts of the time that they have to refute.
-constexpr std::int64_t CheckParts = 3;
+/// A suspected member is probed after one to two thirds of its time to refute.
+constexpr std::int64_t RefutationTimeDivisor = 3;
 
 } // namespace
 
 void membership::implementation::raiseGeneration(std::uint64_t above)
 {
     self().generation = std::min(above + 1, MaxGeneration);
-    m_news.add(options.self.vm);
+    m_gossipQueue.add(options.self.vm);
 }
 
 void membership::implementation::reportChange(const member_record &record,
@@ -30,67 +30,69 @@
         emit(member_changed{now, before ? before->state : member_state::Suspect});
 }
 
-void membership::implementation::forgetDead()
+void membership::implementation::removeExpired()
 {
     const auto now = clock.now();
-    if (now < m_nextForget)
+    if (now < m_nextRemoval)
         return;
-    m_nextForget = now + std::chrono::seconds{1};
-    std::vector<vm_id> gone;
+    m_nextRemoval = now + std::chrono::seconds{1};
+    std::vector<vm_id> removed;
     for (const auto &[vm, record] : table.all()) {
-        const bool old = record.deadAt && now >= *record.deadAt + options.forgetAfter;
-        if (!record.listed && record.status == member_status::Dead && old)
-            gone.push_back(vm);
+        const bool retentionOver = record.deadAt && now >= *record.deadAt + options.deadRetention;
+        if (!record.listed && record.status == member_status::Dead && retentionOver)
+            removed.push_back(vm);
     }
-    for (const auto &vm : gone) {
+    for (const auto &vm : removed) {
         table.erase(vm);
-        m_news.remove(vm);
+        m_gossipQueue.remove(vm);
         emit(member_forgotten{vm});
     }
 }
 
-// Only a node that introduces itself with its address may join unlisted, and only so many.
-bool membership::implementation::admit(const gossip_update &update)
+// Adds a member that is not on the VM list. Requires its description and status alive. The number
+// of such members is bounded.
+bool membership::implementation::addUnlisted(const gossip_update &update)
 {
     if (!update.description || update.status != member_status::Alive)
         return false;
-    // Counting them takes a pass over all, for each that joins.
-    const auto all = table.all().size();
-    const bool tooMany = all >= options.maxUnlisted && table.unlisted() >= options.maxUnlisted;
-    if (tooMany || all >= options.maxMembers)
+    // Counting unlisted members takes linear time, so it is skipped while there are few members.
+    const auto members = table.all().size();
+    const bool tooMany = members >= options.maxUnlisted && table.unlisted() >= options.maxUnlisted;
+    if (tooMany || members >= options.maxMembers)
         return false;
-    member_record fresh;
-    fresh.vm = {update.vm,
+    member_record added;
+    added.vm = {update.vm,
                 update.description->dataCenter,
                 update.description->region,
                 update.description->address,
                 false,
                 update.description->capacity};
-    table.add(std::move(fresh));
+    table.add(std::move(added));
     return true;
 }
 
-// In a mass start everything is news to everybody. Told as rumours, each member's record would
-// cross each link ten times; those who lack it ask for it anyway.
-void membership::implementation::apply(const gossip_update &update, news_source source)
+// Alive records received by synchronisation are not gossiped further. When many nodes start at
+// once, gossip would send each record over each link ten times, while the nodes that lack a record
+// request it by synchronisation anyway.
+void membership::implementation::apply(const gossip_update &update, update_source source)
 {
     if (isSelf(update.vm))
         return applyToSelf(update);
     std::optional<member> before;
     if (const auto *known = table.find(update.vm))
         before = known->toMember();
-    else if (!admit(update))
+    else if (!addUnlisted(update))
         return;
     const auto effect = table.merge(update, options.confirmations);
     if (effect == merge_effect::Older) {
         const auto *known = table.find(update.vm);
         if (known->generation == update.generation && known->status == update.status)
-            m_news.heard(update.vm, newsLimit());
+            m_gossipQueue.countTransmission(update.vm, transmitLimit());
         return;
     }
     ++m_changes;
-    if (source == news_source::Rumour || update.status != member_status::Alive)
-        m_news.add(update.vm);
+    if (source == update_source::Gossiped || update.status != member_status::Alive)
+        m_gossipQueue.add(update.vm);
     m_syncInterval = options.syncInterval;
     auto &record = *table.edit(update.vm);
     if (record.status == member_status::Suspect) {
@@ -103,65 +105,68 @@
     reportChange(record, before);
 }
 
-// A death that comes without the suspicion before it was found elsewhere, such as on the far side
-// of a cut that has just healed. Such a member is probed instead of given up, so that healing
-// doesn't make each side lose members that it can reach.
-void membership::implementation::applyHearsay(const gossip_update &update, news_source source)
+// A reported death of a member that this node considers alive, without a suspicion before it, was
+// detected elsewhere, such as on the other side of a network partition that has just healed. The
+// member is probed instead of declared dead, so that healing does not make each side lose members
+// that it can reach.
+void membership::implementation::applyIndirect(const gossip_update &update, update_source source)
 {
     const auto *record = table.find(update.vm);
-    const bool surprising = record && !isSelf(update.vm) && update.status == member_status::Dead
-        && record->state() == member_state::Alive && member_table::isNewer(update, *record);
-    if (!surprising)
+    const bool unexpectedDeath = record && !isSelf(update.vm)
+        && update.status == member_status::Dead && record->state() == member_state::Alive
+        && member_table::isNewer(update, *record);
+    if (!unexpectedDeath)
         return apply(update, source);
     const bool pending = std::any_of(m_probes.begin(), m_probes.end(), [&](const auto &entry) {
         return entry.second.target == update.vm;
     });
-    if (!pending && m_probes.size() < MaxVerifications)
-        startProbe(update.vm, probe_kind::First);
+    if (!pending && m_probes.size() < MaxProbesToVerify)
+        startProbe(update.vm, probe_kind::Initial);
 }
 
-// A suspicion of this start is refuted. Another start of the same VM is either an older one, which
-// a new process outbids, or, when this one has long been known, a later one, before which it
-// yields.
+// A suspicion or death of this process is refuted by raising the generation. Another process of
+// this VM is assumed to be an older one within the join window, or if it is not alive, and its
+// update is overridden. Otherwise it is a later one, and this process must stop.
 void membership::implementation::applyToSelf(const gossip_update &update)
 {
     if (update.generation < self().generation || m_stopped)
         return;
     if (update.incarnation == options.incarnation) {
-        const bool wrong = update.status != member_status::Alive;
-        if (!wrong && update.generation == self().generation)
+        const bool needsRefutation = update.status != member_status::Alive;
+        if (!needsRefutation && update.generation == self().generation)
             return;
-        if (wrong) {
+        if (needsRefutation) {
             counters.refutations++;
-            health = std::min(health + 1, options.maxHealth);
+            healthScore = std::min(healthScore + 1, options.maxHealthScore);
         }
         return raiseGeneration(update.generation);
     }
-    const bool fresh = clock.now() < m_startedAt + options.joinWindow;
-    if (fresh || update.status != member_status::Alive)
+    const bool isJoining = clock.now() < m_startedAt + options.joinWindow;
+    if (isJoining || update.status != member_status::Alive)
         return raiseGeneration(update.generation);
-    if (!m_toldSuperseded)
+    if (!m_supersededReported)
         emit(superseded{update.incarnation});
-    m_toldSuperseded = true;
+    m_supersededReported = true;
 }
 
-// The time to refute shrinks with each independent accuser: one alone may be the one who is cut
-// off or slow.
+// The time to refute decreases with each further node that suspects the member: a single one may
+// itself be disconnected or slow.
 void membership::implementation::startSuspicion(member_record &record)
 {
     const auto now = clock.now();
-    const auto accusers = std::min(record.accusers.size(), options.confirmations);
-    const auto missing = static_cast<std::int64_t>(options.confirmations - accusers);
+    const auto suspectingNodes = std::min(record.suspectingNodes.size(), options.confirmations);
+    const auto missing = static_cast<std::int64_t>(options.confirmations - suspectingNodes);
     const auto span = options.suspicionMax - options.suspicionMin;
-    const auto all =
+    const auto maxMissing =
         std::max<std::int64_t>(static_cast<std::int64_t>(options.confirmations) - 1, 1);
-    const auto time = options.suspicionMin + span * std::min(missing, all) / all;
+    const auto time = options.suspicionMin + span * std::min(missing, maxMissing) / maxMissing;
     const auto deadline = now + time;
     if (!record.deadAt || deadline < *record.deadAt)
         record.deadAt = deadline;
-    const auto least = time / CheckParts;
-    const auto wait = least + milliseconds{static_cast<std::int64_t>(random(least.count() + 1))};
-    m_suspects.try_emplace(record.vm.vm, suspicion{now + wait, false});
+    const auto minDelay = time / RefutationTimeDivisor;
+    const auto delay =
+        minDelay + milliseconds{static_cast<std::int64_t>(random(minDelay.count() + 1))};
+    m_suspects.try_emplace(record.vm.vm, suspicion{now + delay, false});
 }
 
 void membership::implementation::suspect(const vm_id &vm)
@@ -171,21 +176,21 @@
         return;
     gossip_update update = member_table::toUpdate(*record);
     update.status = member_status::Suspect;
-    update.accuser = accuserHash(options.self.vm);
+    update.suspectedBy = suspectingNodeHash(options.self.vm);
     update.description.reset();
-    apply(update, news_source::Rumour);
+    apply(update, update_source::Gossiped);
 }
 
-// Each node that hears of a suspicion asks the member once by itself. So a refutation doesn't hang
-// on gossip alone, which loses as much as the probes that led to the suspicion.
-void membership::implementation::checkSuspects()
+// Each node that receives a suspicion probes the member once itself. The refutation then does not
+// depend on gossip alone, which loses as many datagrams as the probes that led to the suspicion.
+void membership::implementation::probeSuspects()
 {
     const auto now = clock.now();
     for (auto &[vm, pending] : m_suspects) {
-        if (pending.checked || now < pending.checkAt || !table.find(vm))
+        if (pending.probed || now < pending.probeAt || !table.find(vm))
             continue;
-        pending.checked = true;
-        if (m_allowance.open(now))
+        pending.probed = true;
+        if (m_gossipRateLimiter.canSend(now))
             startProbe(vm, probe_kind::Extra);
     }
 }
@@ -207,7 +212,7 @@
         gossip_update update = member_table::toUpdate(*record);
         update.status = member_status::Dead;
         update.description.reset();
-        apply(update, news_source::Rumour);
+        apply(update, update_source::Gossiped);
     }
 }
 
--- a/src/core/membership/recent_lists.cpp
+++ b/src/core/membership/recent_lists.cpp
@@ -6,46 +6,47 @@
 
 namespace {
 
-steady_time majorityOfOne(const std::vector<vm_id> &vms, const recent_lists::vote_end &voteOf)
+steady_time listMajorityUntil(const std::vector<vm_id> &vms,
+                              const recent_lists::vote_expiry &voteExpiry)
 {
     if (vms.empty())
         return steady_time::min();
-    std::vector<steady_time> ends;
-    ends.reserve(vms.size());
+    std::vector<steady_time> expiries;
+    expiries.reserve(vms.size());
     for (const auto &vm : vms)
-        ends.push_back(voteOf(vm));
-    // With n voters, the vote number n/2 (from 0, latest first) is the one that makes more than
-    // half.
-    const auto middle = ends.begin() + static_cast<std::ptrdiff_t>(vms.size() / 2);
-    std::nth_element(ends.begin(), middle, ends.end(), std::greater<>{});
+        expiries.push_back(voteExpiry(vm));
+    // Of n votes in descending order of expiry, those up to index n/2 (from 0) are more
+    // than half.
+    const auto middle = expiries.begin() + static_cast<std::ptrdiff_t>(vms.size() / 2);
+    std::nth_element(expiries.begin(), middle, expiries.end(), std::greater<>{});
     return *middle;
 }
 
 } // namespace
 
-recent_lists::recent_lists(milliseconds maxAge, milliseconds memory)
+recent_lists::recent_lists(milliseconds maxAge, milliseconds retention)
     : m_maxAge(maxAge)
-    , m_memory(memory)
+    , m_retention(retention)
 { }
 
-// Knowledge is complete only as long as confirmations follow each other closely: after a gap, lists
-// may have come and gone unseen, and the memory has to fill again.
+// The history is complete only while each confirmation arrives before the previous one is too old.
+// After a gap, lists may have been published and replaced unseen, so a new history begins.
 void recent_lists::set(std::vector<vm_id> vms, steady_time confirmedAt, steady_time now)
 {
     std::sort(vms.begin(), vms.end());
     vms.erase(std::unique(vms.begin(), vms.end()), vms.end());
-    const bool gap = !m_known || confirmedAt > freshUntil();
+    const bool gap = !m_initialized || confirmedAt > freshUntil();
     if (gap) {
         m_completeSince = confirmedAt;
         m_confirmedAt = confirmedAt;
     }
-    m_known = true;
+    m_initialized = true;
     m_confirmedAt = std::max(m_confirmedAt, confirmedAt);
     if (vms == m_current)
         return;
     if (!m_current.empty())
         m_past.push_back({std::move(m_current), now});
-    if (m_past.size() > MaxLists) {
+    if (m_past.size() > MaxPastLists) {
         m_past.erase(m_past.begin());
         m_completeSince = now;
     }
@@ -73,22 +74,23 @@
 
 bool recent_lists::complete(steady_time now) const
 {
-    return m_known && now >= m_completeSince + m_memory;
+    return m_initialized && now >= m_completeSince + m_retention;
 }
 
-steady_time recent_lists::majorityUntil(const vote_end &voteOf, bool everyList) const
+steady_time recent_lists::majorityUntil(const vote_expiry &voteExpiry, bool includePast) const
 {
-    steady_time until = majorityOfOne(m_current, voteOf);
-    if (!everyList)
+    steady_time until = listMajorityUntil(m_current, voteExpiry);
+    if (!includePast)
         return until;
     for (const auto &list : m_past)
-        until = std::min(until, majorityOfOne(list.vms, voteOf));
+        until = std::min(until, listMajorityUntil(list.vms, voteExpiry));
     return until;
 }
 
 void recent_lists::tick(steady_time now)
 {
-    std::erase_if(m_past, [&](const past_list &list) { return now >= list.replacedAt + m_memory; });
+    std::erase_if(m_past,
+                  [&](const past_list &list) { return now >= list.replacedAt + m_retention; });
 }
 
 } // namespace orchidlead
--- a/tests/core/clock_test.cpp
+++ b/tests/core/clock_test.cpp
@@ -6,9 +6,9 @@
 
 using namespace orchidlead;
 
-TEST_CASE("system_clock_source: its time goes on while the machine is suspended")
+TEST_CASE("the monotonic time of system_clock_source includes suspensions of the machine")
 {
-    // Since boot, suspensions included: the only clock of the system that does both.
+    // CLOCK_BOOTTIME is the only monotonic system clock that includes suspensions.
     timespec sinceBoot{};
     REQUIRE(::clock_gettime(CLOCK_BOOTTIME, &sinceBoot) == 0);
     const auto expected = std::chrono::seconds{sinceBoot.tv_sec};
--- a/tests/core/enum_names_test.cpp
+++ b/tests/core/enum_names_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace orchidlead;
 
-TEST_CASE("every outcome has a name that leads back to it")
+TEST_CASE("every outcome has a name that maps back to it")
 {
     for (const auto &row : enumNames<outcome>) {
         CAPTURE(row.name);
@@ -13,7 +13,7 @@
     }
 }
 
-TEST_CASE("a name that is in no table finds nothing")
+TEST_CASE("an unknown name has no value")
 {
     CHECK_FALSE(fromName<outcome>("perhaps").has_value());
 }
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -16,22 +16,22 @@
 
 constexpr std::uint64_t Seed = 20261202;
 
-/// Starts a fleet and lets all see all.
-void settle(network &net, std::size_t count, std::size_t dataCenters)
+/// Starts `count` nodes and waits until their views agree.
+void startAndConverge(network &net, std::size_t count, std::size_t dataCenters)
 {
     net.publish(1, "one");
     net.addFleet(count, dataCenters);
-    const auto taken = net.runUntil([&] { return net.agreed(); }, 60s);
-    CAPTURE(taken.count());
+    const auto elapsed = net.runUntil([&] { return net.agreed(); }, 60s);
+    CAPTURE(elapsed.count());
     REQUIRE(net.agreed());
 }
 
 std::uint64_t deathsSeen(network &net)
 {
-    std::uint64_t deaths = 0;
+    std::uint64_t total = 0;
     for (std::size_t i = 0; i < net.size(); ++i)
-        deaths += net.at(i).deathsSeen;
-    return deaths;
+        total += net.at(i).deathsSeen;
+    return total;
 }
 
 gossip_message makeMessage()
@@ -48,7 +48,7 @@
     message.target = vm_id{"vm-2"};
     message.slice = {1, 3};
     message.hashes = {7, 0xfffffffe};
-    message.cutShort = true;
+    message.truncated = true;
     member_description description{data_center_id{"dc"}, region_id{"r"}, {"10.0.0.1", 9}};
     message.updates.push_back(
         {vm_id{"vm-3"}, 21, 22, member_status::Suspect, false, 23, description});
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a gossip message comes back from its bytes as it was")
+TEST_CASE("an encoded gossip message decodes to the same message")
 {
     const auto message = makeMessage();
     const auto decoded = decodeGossip(encodeGossip(message));
@@ -65,17 +65,18 @@
     CHECK(decoded.value() == message);
 }
 
-TEST_CASE("a cut, lengthened, damaged or too large datagram never breaks the decoder")
+TEST_CASE(
+    "the decoder rejects truncated, extended and too large datagrams and bounds corrupted ones")
 {
-    const std::string good = encodeGossip(makeMessage());
-    CHECK(decodeGossip(good + "x").error() == gossip_error::Malformed);
+    const std::string encoded = encodeGossip(makeMessage());
+    CHECK(decodeGossip(encoded + "x").error() == gossip_error::Malformed);
     CHECK(decodeGossip(std::string(MaxGossipBytes + 1, 'x')).error() == gossip_error::TooLarge);
-    for (std::size_t length = 0; length < good.size(); ++length) {
+    for (std::size_t length = 0; length < encoded.size(); ++length) {
         CAPTURE(length);
-        CHECK_FALSE(decodeGossip(good.substr(0, length)));
+        CHECK_FALSE(decodeGossip(encoded.substr(0, length)));
     }
-    rc::prop("damaged", [&good] {
-        std::string bytes = good;
+    rc::prop("damaged", [&encoded] {
+        std::string bytes = encoded;
         for (int i = *rc::gen::inRange(1, 5); i > 0; --i)
             bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
         const auto decoded = decodeGossip(bytes);
@@ -84,7 +85,8 @@
     });
 }
 
-TEST_CASE("a generation beyond the bound is refused, for a raised one would begin again at nothing")
+// A node refutes a suspicion with the next greater generation, which would wrap around to 0.
+TEST_CASE("the decoder rejects a generation above the maximum")
 {
     auto message = makeMessage();
     message.updates[0].generation = MaxGeneration;
@@ -93,10 +95,10 @@
     CHECK_FALSE(decodeGossip(encodeGossip(message)));
 }
 
-TEST_CASE("a datagram from an address that isn't the member's is dropped and counted")
+TEST_CASE("a datagram from a wrong address and a malformed one are dropped and counted")
 {
     network net(Seed);
-    settle(net, 4, 2);
+    startAndConverge(net, 4, 2);
     membership_actions out;
     auto message = makeMessage();
     message.kind = gossip_kind::Gossip;
@@ -109,32 +111,32 @@
     CHECK(net.seenBy(0, 2) == member_state::Alive);
 }
 
-TEST_CASE("a dead member is given up by all, though it stays on the list")
+TEST_CASE("all nodes detect the death of a member that stays on the VM list")
 {
     const auto nodes = GENERATE(8, 40);
     network net(Seed + nodes);
-    settle(net, nodes, 4);
+    startAndConverge(net, nodes, 4);
     net.kill(3);
-    const auto taken = net.runUntil([&] { return net.agreed(); }, 60s);
-    CAPTURE(nodes, taken.count());
+    const auto elapsed = net.runUntil([&] { return net.agreed(); }, 60s);
+    CAPTURE(nodes, elapsed.count());
     CHECK(net.agreed());
-    CHECK(taken <= 20s);
+    CHECK(elapsed <= 20s);
 }
 
-TEST_CASE("losing a fifth of all datagrams makes no member dead")
+TEST_CASE("no member is declared dead with a datagram loss of 20 percent")
 {
     network net(Seed);
-    settle(net, 40, 4);
+    startAndConverge(net, 40, 4);
     net.faults = {0.2, 0.05, 1ms, 30ms};
     const auto before = deathsSeen(net);
     net.run(5min);
     CHECK(deathsSeen(net) - before == 0);
 }
 
-TEST_CASE("a member that answers late is slow, not dead")
+TEST_CASE("no member is declared dead because of slow answers")
 {
     network net(Seed);
-    settle(net, 8, 4);
+    startAndConverge(net, 8, 4);
     net.faults.leastDelay = 100ms;
     net.faults.mostDelay = 220ms;
     const auto before = deathsSeen(net);
@@ -142,10 +144,12 @@
     CHECK(deathsSeen(net) - before == 0);
 }
 
-TEST_CASE("a paused node notices before it believes anything, and is taken back")
+// A resumed node must not act on its outdated state, nor declare others dead because of probes that
+// were pending during the pause.
+TEST_CASE("a paused node detects the pause on resumption and rejoins")
 {
     network net(Seed);
-    settle(net, 8, 4);
+    startAndConverge(net, 8, 4);
     net.pause(2);
     net.runUntil([&] { return net.seenBy(0, 2) == member_state::Dead; }, 60s);
     REQUIRE(net.seenBy(0, 2) == member_state::Dead);
@@ -154,33 +158,35 @@
     net.wake(2);
     CHECK(net.at(2).pausesNoticed == 1);
     CHECK(net.at(2).keeper->mustReconfirm());
-    CHECK(net.at(2).members->pausedSince().has_value());
-    const auto taken = net.runUntil([&] { return net.agreed(); }, 30s);
-    CAPTURE(taken.count());
+    CHECK(net.at(2).members->lastPauseStart().has_value());
+    const auto elapsed = net.runUntil([&] { return net.agreed(); }, 30s);
+    CAPTURE(elapsed.count());
     CHECK(net.agreed());
     CHECK(net.at(2).deathsSeen == 0);
     CHECK(net.at(2).keeper->readyToServe());
 }
 
-TEST_CASE("a new process on the same VM takes the place of the old one")
+// A generation starts from the time of day, so a clock that runs behind gives the new process a
+// lower one than the old process had.
+TEST_CASE("a new process on the same VM replaces the old one")
 {
     network net(Seed);
-    settle(net, 8, 4);
-    const auto old = net.at(5).incarnation;
+    startAndConverge(net, 8, 4);
+    const auto oldIncarnation = net.at(5).incarnation;
     net.kill(5);
     net.run(500ms);
-    net.clock.skewWall(-1h);
-    INFO("the new process's time of day is an hour behind");
+    net.clock.shiftWallClock(-1h);
+    INFO("the clock of the new process is one hour behind");
     net.start(5);
-    const auto allKnow = [&] {
+    const auto allReplaced = [&] {
         for (std::size_t i = 0; i < net.size(); ++i) {
-            if (net.at(i).members->find(net.at(5).vm.vm)->incarnation == old)
+            if (net.at(i).members->find(net.at(5).vm.vm)->incarnation == oldIncarnation)
                 return false;
         }
         return net.agreed();
     };
-    const auto taken = net.runUntil(allKnow, 30s);
-    CAPTURE(taken.count());
+    const auto elapsed = net.runUntil(allReplaced, 30s);
+    CAPTURE(elapsed.count());
     CHECK(net.agreed());
     for (std::size_t i = 0; i < net.size(); ++i) {
         CAPTURE(i);
@@ -189,10 +195,12 @@
     CHECK_FALSE(net.at(5).supersededSeen);
 }
 
-TEST_CASE("data centres that were cut off come back after healing without flapping")
+// After a network partition heals, each side still has the members of the other as dead. Spreading
+// these deaths would make nodes lose members that they can reach.
+TEST_CASE("data centres rejoin after a network partition without flapping")
 {
     network net(Seed);
-    settle(net, 24, 4);
+    startAndConverge(net, 24, 4);
     net.cut({{"dc-3", 1}});
     net.runUntil([&] { return net.agreed(0) && net.agreed(1); }, 120s);
     REQUIRE(net.agreed(0));
@@ -203,24 +211,24 @@
     for (std::size_t i = 0; i < net.size(); ++i)
         changesBefore += net.at(i).changesSeen;
     net.heal();
-    const auto taken = net.runUntil([&] { return net.agreed(); }, 60s);
-    CAPTURE(taken.count());
+    const auto elapsed = net.runUntil([&] { return net.agreed(); }, 60s);
+    CAPTURE(elapsed.count());
     REQUIRE(net.agreed());
-    CHECK(taken <= 30s);
+    CHECK(elapsed <= 30s);
     net.run(2min);
     std::uint64_t changes = 0;
     for (std::size_t i = 0; i < net.size(); ++i)
         changes += net.at(i).changesSeen;
-    INFO("each of 18 nodes takes back 6, and each of 6 takes back 18; nothing else changes");
+    INFO("each of 18 nodes regains 6 members and each of 6 nodes regains 18; nothing else changes");
     CHECK(deathsSeen(net) - before == 0);
     CHECK(changes - changesBefore == 2 * 18 * 6);
 }
 
-TEST_CASE("leaving and stopping are announced, so that nobody has to find out")
+TEST_CASE("other nodes apply an announcement of leaving or stopping at once")
 {
     network net(Seed);
-    settle(net, 16, 4);
-    const auto act = [&](auto call) {
+    startAndConverge(net, 16, 4);
+    const auto applyToPeers = [&](auto call) {
         membership_actions out;
         call(*net.at(4).members, out);
         for (const auto &action : out) {
@@ -234,22 +242,22 @@
             }
         }
     };
-    act([](auto &members, auto &out) { members.announceLeaving(out); });
+    applyToPeers([](auto &members, auto &out) { members.announceLeaving(out); });
     CHECK(net.seenBy(0, 4) == member_state::Leaving);
     net.run(5s);
     for (std::size_t i = 0; i < net.size(); ++i)
         CHECK(net.seenBy(i, 4) == member_state::Leaving);
-    act([](auto &members, auto &out) { members.announceStopped(out); });
+    applyToPeers([](auto &members, auto &out) { members.announceStopped(out); });
     net.kill(4);
     CHECK(net.seenBy(0, 4) == member_state::Dead);
     net.runUntil([&] { return net.agreed(); }, 10s);
     CHECK(net.agreed());
 }
 
-TEST_CASE("a VM that the lagging list doesn't have yet is found, but marked unlisted")
+TEST_CASE("a VM that the VM list lacks joins as an unlisted member")
 {
     network net(Seed);
-    settle(net, 8, 4);
+    startAndConverge(net, 8, 4);
     const auto added = net.add("vm-new", "dc-1");
     net.cutPlatform({0});
     net.start(added);
@@ -266,27 +274,27 @@
     CHECK(seen->vm.dataCenter == data_center_id{"dc-1"});
 }
 
-TEST_CASE("the age of the VM list is learnt from peers with the same list, never too young")
+TEST_CASE("a node gets the confirmation time of its VM list from peers and never overestimates it")
 {
     network net(Seed);
-    settle(net, 8, 4);
+    startAndConverge(net, 8, 4);
     net.run(30s);
     membership_actions out;
-    const auto vouched = net.clock.now();
+    const auto confirmationTime = net.clock.now();
     net.at(1).members->confirmListed(1);
     net.run(10s);
     for (std::size_t i = 0; i < net.size(); ++i) {
         const auto confirmed = net.at(i).members->listConfirmedAt();
         REQUIRE(confirmed.has_value());
-        CHECK(*confirmed <= vouched);
+        CHECK(*confirmed <= confirmationTime);
     }
-    CHECK(*net.at(5).members->listConfirmedAt() > vouched - 1s);
+    CHECK(*net.at(5).members->listConfirmedAt() > confirmationTime - 1s);
 }
 
-TEST_CASE("in quiet times a node of 56 stays within 2.5 KB/s for membership")
+TEST_CASE("membership traffic of an idle node among 56 stays below 2.5 KB per second")
 {
     network net(Seed);
-    settle(net, 56, 7);
+    startAndConverge(net, 56, 7);
     net.run(60s);
     std::vector<std::uint64_t> before;
     for (std::size_t i = 0; i < net.size(); ++i) {
--- a/tests/core/rendezvous_test.cpp
+++ b/tests/core/rendezvous_test.cpp
@@ -26,22 +26,22 @@
     CHECK(rendezvousWeight("ab", "c") != rendezvousWeight("a", "bc"));
 }
 
-TEST_CASE("removing a member moves only the keys that it had")
+TEST_CASE("removing a member moves only the keys assigned to it")
 {
     rc::prop("", [] {
         auto members = makeMembers(*rc::gen::inRange<std::size_t>(2, 40));
-        const auto gone = members[*rc::gen::inRange<std::size_t>(0, members.size())];
+        const auto removed = members[*rc::gen::inRange<std::size_t>(0, members.size())];
         const auto key = *rc::gen::arbitrary<std::string>();
         const auto before = rendezvousPick(key, members, 3);
-        std::erase(members, gone);
+        std::erase(members, removed);
         auto expected = before;
-        std::erase(expected, gone);
+        std::erase(expected, removed);
         const auto after = rendezvousPick(key, members, 3);
         RC_ASSERT(std::equal(expected.begin(), expected.end(), after.begin()));
     });
 }
 
-TEST_CASE("the order of the members doesn't matter")
+TEST_CASE("the picks do not depend on the order of the members")
 {
     auto members = makeMembers(9);
     const auto before = rendezvousPick("key", members, 9);
@@ -50,7 +50,7 @@
     CHECK(rendezvousPick("key", members, 20).size() == 9);
 }
 
-TEST_CASE("keys spread evenly over the members")
+TEST_CASE("keys are distributed evenly over the members")
 {
     const auto members = makeMembers(8);
     std::vector<int> keys(members.size());
