--- a/examples/membership_example.cpp
+++ b/examples/membership_example.cpp
@@ -1,5 +1,5 @@
-// Shows three nodes that tell each other who is there: they probe and gossip with datagrams, which
-// here go through a queue in memory, and when one falls silent the others notice.
+// Three nodes track each other's state with probes and gossip. Their datagrams pass through a queue
+// in memory. When one node stops, the others detect its death.
 
 #include "claims.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Gives the VM of that number, which is its port too.
+/// Returns the VM with the given number, which is also its port.
 listed_vm makeVm(std::uint16_t number)
 {
     const vm_id name{"vm-" + std::to_string(number)};
@@ -24,7 +24,7 @@
 {
     membership_options options;
     options.self = self;
-    options.incarnation = 1000U + self.peerAddress.port; // drawn at random by a real program
+    options.incarnation = 1000U + self.peerAddress.port; // random in a real program
     options.seed = self.peerAddress.port;
     return options;
 }
@@ -36,7 +36,7 @@
     bool running = true;
 };
 
-/// Runs the nodes and carries their datagrams.
+/// Runs the nodes and delivers their datagrams.
 struct fleet
 {
     explicit fleet(const std::vector<listed_vm> &vms)
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Runs until `done`, for 30 s at most; tells whether it was done.
+    /// Runs until `done` returns true, for at most 30 s. Returns whether it did.
     bool runUntil(const std::function<bool()> &done)
     {
         for (auto passed = 0ms; passed < 30s && !done(); passed += 50ms)
@@ -60,7 +60,7 @@
 
     void runStep()
     {
-        clock.advance(50ms); // between two ticks
+        clock.advance(50ms); // tick interval
         for (const auto &[from, sent] : std::exchange(queue, {})) {
             node &receiver = nodes.at(sent.to.port - 1U);
             membership_actions actions;
@@ -82,19 +82,19 @@
             if (const auto *sent = std::get_if<gossip_datagram>(&action))
                 queue.emplace_back(sender.self.peerAddress, *sent);
             if (const auto *changed = std::get_if<member_changed>(&action))
-                std::cout << sender.self.vm.value << " sees " << changed->now.vm.vm.value << " "
-                          << toName(changed->now.state) << '\n';
+                std::cout << sender.self.vm.value << " considers " << changed->now.vm.vm.value
+                          << " " << toName(changed->now.state) << '\n';
         }
     }
 
-    /// Tells whether vm-`observer` holds vm-`other` for `state`.
-    [[nodiscard]] bool sees(std::size_t observer, std::size_t other, member_state state) const
+    /// Whether the state of vm-`other` in the view of vm-`observer` is `state`.
+    [[nodiscard]] bool considers(std::size_t observer, std::size_t other, member_state state) const
     {
         const auto found = nodes.at(observer - 1).view.find(nodes.at(other - 1).self.vm);
         return found && found->state == state;
     }
 
-    manual_clock clock; // shared here; each real node reads its own
+    manual_clock clock; // shared by the nodes, while real nodes have their own
     std::deque<node> nodes;
     std::vector<std::pair<socket_address, gossip_datagram>> queue;
 };
@@ -105,15 +105,17 @@
 {
     using enum member_state;
     claims shown;
-    fleet three{{makeVm(1), makeVm(2), makeVm(3)}};
-    const auto pairSees = [&three](std::size_t one, std::size_t other) {
-        return three.sees(one, other, Alive) && three.sees(other, one, Alive);
+    fleet cluster{{makeVm(1), makeVm(2), makeVm(3)}};
+    const auto bothAlive = [&cluster](std::size_t one, std::size_t other) {
+        return cluster.considers(one, other, Alive) && cluster.considers(other, one, Alive);
     };
-    shown.check(three.runUntil([&] { return pairSees(1, 2) && pairSees(1, 3) && pairSees(2, 3); }),
-                "all three see each other alive");
-    three.nodes.at(2).running = false; // vm-3 dies without a word
-    shown.check(three.runUntil([&] { return three.sees(1, 3, Dead) && three.sees(2, 3, Dead); }),
-                "both others find vm-3 dead");
-    shown.check(pairSees(1, 2), "and each other alive");
+    shown.check(
+        cluster.runUntil([&] { return bothAlive(1, 2) && bothAlive(1, 3) && bothAlive(2, 3); }),
+        "all three nodes consider each other alive");
+    cluster.nodes.at(2).running = false; // vm-3 stops without an announcement
+    shown.check(cluster.runUntil(
+                    [&] { return cluster.considers(1, 3, Dead) && cluster.considers(2, 3, Dead); }),
+                "both other nodes consider vm-3 dead");
+    shown.check(bothAlive(1, 2), "both remaining nodes consider each other alive");
     return shown.exitCode();
 }
--- a/examples/rendezvous_example.cpp
+++ b/examples/rendezvous_example.cpp
@@ -1,5 +1,5 @@
-// Shows how nodes agree on where a key lives without talking to each other: each picks by
-// rendezvous hashing over the same list of VMs, and removing a VM moves only the keys that it had.
+// Nodes agree on the home of a key without communication: each picks it by rendezvous hashing over
+// the same VM list. Removing a VM moves only the keys assigned to it.
 
 #include "claims.h"
 
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr int Keys = 1000;
-constexpr std::size_t Copies = 2; ///< the home and the one that would follow it
+constexpr std::size_t Copies = 2; ///< the home and its successor
 
 struct homes
 {
@@ -25,8 +25,8 @@
     vm_id successor;
 };
 
-/// Picks the homes of all keys among `vms`.
-std::map<std::string, homes> place(const std::vector<vm_id> &vms)
+/// Returns the home and successor of each key among `vms`.
+std::map<std::string, homes> placeKeys(const std::vector<vm_id> &vms)
 {
     std::map<std::string, homes> placed;
     for (int i = 0; i < Keys; ++i) {
@@ -44,7 +44,7 @@
     claims shown;
     const std::vector<vm_id> vms{vm_id{"vm-1"}, vm_id{"vm-2"}, vm_id{"vm-3"}, vm_id{"vm-4"},
                                  vm_id{"vm-5"}};
-    const auto before = place(vms);
+    const auto before = placeKeys(vms);
     std::map<vm_id, int> load;
     for (const auto &[key, where] : before)
         ++load[where.home];
@@ -52,34 +52,34 @@
         std::cout << vm.value << " is home of " << count << " keys\n";
     shown.check(load.size() == vms.size(), "every VM is home of some keys");
 
-    // Another node may hold the list in another order: the places are the same.
+    // The picks do not depend on the order of the VM list.
     std::vector<vm_id> reversed = vms;
     std::reverse(reversed.begin(), reversed.end());
-    const auto elsewhere = place(reversed);
+    const auto elsewhere = placeKeys(reversed);
     shown.check(std::all_of(before.begin(), before.end(),
                             [&](const auto &entry) {
                                 return elsewhere.at(entry.first).home == entry.second.home;
                             }),
-                "a node with the list in another order picks the same homes");
+                "a node with the VM list in another order picks the same homes");
 
-    const vm_id gone{"vm-3"};
+    const vm_id removed{"vm-3"};
     std::vector<vm_id> rest = vms;
-    std::erase(rest, gone);
-    const auto after = place(rest);
+    std::erase(rest, removed);
+    const auto after = placeKeys(rest);
     int moved = 0;
     int movedNeedlessly = 0;
     int movedToSuccessor = 0;
-    for (const auto &[key, old] : before) {
+    for (const auto &[key, placement] : before) {
         const vm_id &now = after.at(key).home;
-        if (now == old.home)
+        if (now == placement.home)
             continue;
         ++moved;
-        movedNeedlessly += old.home == gone ? 0 : 1;
-        movedToSuccessor += now == old.successor ? 1 : 0;
+        movedNeedlessly += placement.home == removed ? 0 : 1;
+        movedToSuccessor += now == placement.successor ? 1 : 0;
     }
-    std::cout << "without " << gone.value << ", " << moved << " of " << Keys << " keys moved\n";
-    shown.check(moved == load[gone], "all keys of the removed VM moved");
+    std::cout << "without " << removed.value << ", " << moved << " of " << Keys << " keys moved\n";
+    shown.check(moved == load[removed], "all keys of the removed VM moved");
     shown.check(movedNeedlessly == 0, "no other key moved");
-    shown.check(movedToSuccessor == moved, "each went to the VM that was its second pick");
+    shown.check(movedToSuccessor == moved, "each key moved to its successor");
     return shown.exitCode();
 }
