--- a/include/orchidlead/at_most_once_guards.h
+++ b/include/orchidlead/at_most_once_guards.h
@@ -4,14 +4,14 @@
 
 namespace orchidlead {
 
-/// A guard is a constant that is true or false when the program is built.
+/// Guards are compile-time boolean constants.
 template <class... Types>
 concept guard_constants = (std::same_as<Types, const bool> && ...);
 
-/// Says which guards of the at-most-once protocol are in place.
+/// Requirements on a policy that enables or disables each guard of the at-most-once protocol.
 ///
-/// The daemon is built with `every_guard` alone; there is no run-time switch. Tests put a policy
-/// with one guard missing in its place, to show that the guard carries weight.
+/// The daemon is always built with `every_guard`; there is no run-time switch. Tests disable one
+/// guard at a time, to show that an invariant breaks without it.
 template <class Guards>
 concept at_most_once_guards =
     guard_constants<decltype(Guards::LeaseIsChecked), decltype(Guards::IssuedAfterLeaseBegan),
@@ -23,40 +23,41 @@
                     decltype(Guards::UncertainMeansUnknown), decltype(Guards::RefusalIsFinal),
                     decltype(Guards::TicketNamesIncarnation), decltype(Guards::TicketRunsOnce)>;
 
-/// All guards: what the daemon ships with.
+/// All guards enabled, as in the daemon.
 struct every_guard
 {
     /// A key is accepted only while the lease on its shard is valid.
     static constexpr bool LeaseIsChecked = true;
     /// A key is accepted only if it was issued after the lease became continuous.
     static constexpr bool IssuedAfterLeaseBegan = true;
-    /// A lease covers the time before it only as far back as no other promise was live.
+    /// A lease covers the time before its start only back to the end of the last promise that one
+    /// of its voters made to another holder.
     static constexpr bool CoverageAfterPromises = true;
-    /// A key from the future could be accepted by a later home as well.
+    /// A key whose time of issue is in the future is refused: a later home could accept it as well.
     static constexpr bool FutureKeysAreRefused = true;
-    /// A key older than the window may have a record that is already dropped.
+    /// A key older than the window is refused: its record may have been dropped.
     static constexpr bool OldKeysAreRefused = true;
     /// A lease needs the votes of more than half of the listed VMs.
     static constexpr bool MajorityOfVoters = true;
-    /// A freshly started voter grants nothing until its predecessor's promises have run out.
+    /// A voter grants nothing after its start until its predecessor's promises have expired.
     static constexpr bool FreshVoterWaits = true;
-    /// The holder counts the lease from when it sent the request.
+    /// The holder's lease starts when the holder sent the request, not when the vote arrived.
     static constexpr bool LeaseCountsFromRequest = true;
-    /// A lease needs a majority of each list that was in force lately.
+    /// A lease needs a majority of each recent VM list, not only of the current one.
     static constexpr bool EveryRecentListAgrees = true;
-    /// A node whose VM list is unconfirmed for too long holds no lease.
+    /// A node whose VM list has not been confirmed for `maxListAge` holds no lease.
     static constexpr bool ListMustBeFresh = true;
-    /// A release that was overtaken by a later vote doesn't end that vote.
+    /// A release does not end a vote of a later round, which may have arrived before it.
     static constexpr bool LateReleaseIsIgnored = true;
-    /// A handed over shard keeps its coverage only if the leases overlap.
+    /// The successor of a handover inherits the coverage only if the leases overlap.
     static constexpr bool HandoverWithinLease = true;
-    /// A node that isn't certain to be the home doesn't say `not_run`.
+    /// A node that is not certain to be the home reports `unknown`, not `not_run`.
     static constexpr bool UncertainMeansUnknown = true;
-    /// A call that was answered `not_run` doesn't run when the same key comes again.
+    /// A call that was answered `not_run` does not run when its key or ticket is sent again.
     static constexpr bool RefusalIsFinal = true;
-    /// A ticket of another incarnation isn't run.
+    /// A ticket of another incarnation of the VM is refused.
     static constexpr bool TicketNamesIncarnation = true;
-    /// A ticket that was used isn't run again.
+    /// A used ticket is not run again.
     static constexpr bool TicketRunsOnce = true;
 };
 
--- a/include/orchidlead/idempotency_key.h
+++ b/include/orchidlead/idempotency_key.h
@@ -11,10 +11,10 @@
 
 namespace orchidlead {
 
-/// A caller's name for one call that may not be repeated; says when it was issued.
+/// Identifies one non-repeatable call. Chosen by the caller, and contains the time of issue.
 ///
-/// Text form: `<unix milliseconds>-<random text>`. The time is what lets a node prove that no
-/// earlier home of the key has run it.
+/// Text form: `<unix milliseconds>-<random text>`. A node compares the time of issue with the
+/// start of its lease, to prove that no earlier home of the key has run the call.
 struct idempotency_key
 {
     std::string text; ///< the whole key
@@ -23,7 +23,7 @@
     friend auto operator<=>(const idempotency_key &, const idempotency_key &) = default;
 };
 
-/// Why a text is no idempotency key.
+/// Reason why a text is not a valid idempotency key.
 enum class idempotency_key_error { TooLong, NoTime, BadTime, BadRandomText };
 
 template <>
@@ -35,9 +35,9 @@
 };
 
 inline constexpr std::size_t MaxIdempotencyKeyLength = 128; ///< bytes
-inline constexpr std::size_t MinRandomTextLength = 8; ///< bytes; shorter ones collide
+inline constexpr std::size_t MinRandomTextLength = 8; ///< bytes; shorter texts may collide
 
-/// Reads a key. The random text may hold letters, digits, `-`, `_` and `.`.
+/// Parses a key. The random text may hold letters, digits, `-`, `_` and `.`.
 [[nodiscard]] result<idempotency_key, idempotency_key_error>
 parseIdempotencyKey(std::string_view text);
 
--- a/include/orchidlead/key_home.h
+++ b/include/orchidlead/key_home.h
@@ -19,12 +19,13 @@
 
 namespace orchidlead {
 
-/// Whether a node may accept a key that it has no record of.
+/// Whether a node may accept a key of which it has no record.
 enum class home_standing {
-    Certain, ///< no other node ran the key, and none ever will
-    NoLease, ///< this node isn't the home now
-    IssuedBeforeLease, ///< an earlier home may have run the key
-    IssuedInFuture, ///< a later home could accept the key as well
+    /// No other node has accepted the key, and none can accept it later.
+    Certain,
+    NoLease, ///< this node is not the home
+    IssuedBeforeLease, ///< an earlier home may have run it
+    IssuedInFuture, ///< a later home could also accept it
 };
 
 template <>
@@ -41,49 +42,50 @@
     orchidlead::incarnation incarnation = 0;
     milliseconds lease{12'000};
     milliseconds renewal{4'000};
-    milliseconds clockSkew{1'000}; ///< largest difference between two machines' times of day
+    /// Largest difference between the wall clocks of two machines.
+    milliseconds clockSkew{1'000};
     milliseconds maxListAge{60'000};
     milliseconds listMemory{150'000};
 };
 
-/// Since when a home knows all keys of a shard, and how long its lease lasts.
+/// Coverage of a shard by a lease: no earlier home has accepted a key issued after `since`.
 struct lease_cover
 {
     wall_time since;
-    wall_time until;
+    wall_time until; ///< end of the lease
 };
 
-/// Who takes a shard over, and from which of its rounds on it counts votes.
+/// The node that takes over a shard, and the first round of which it counts votes.
 struct successor_holder
 {
     lease_holder holder;
     std::uint64_t round = 0;
 };
 
-/// A message to the key home of a peer.
+/// A message to the `key_home` of a peer.
 struct key_home_outgoing
 {
     vm_id to;
     key_home_message message;
 };
 
-/// Holds leases on shards of a data centre's bare keys, and votes on those of others.
+/// Holds leases on shards of a data centre's idempotency keys, and votes on those of other nodes.
 ///
-/// At any time at most one node holds the lease of a shard: a lease needs the votes of more than
-/// half of the listed VMs, of each list that was in force lately. A key that is issued after the
-/// lease became continuous can't have been accepted by an earlier home; one that isn't from the
-/// future can't be accepted by a later one.
+/// The home of a key is the node that holds the lease on the key's shard. At any time, at most one
+/// node holds it: a lease needs the votes of more than half of the VMs of each recent list. A key
+/// that was issued after the lease became continuous cannot have been accepted by an earlier home.
+/// A key whose time of issue is not in the future cannot be accepted by a later home.
 template <at_most_once_guards Guards>
 class basic_key_home
 {
 public:
     basic_key_home(key_home_settings settings, const clock_source &clock);
 
-    /// Takes the VMs of the data centre, of which only the listed ones count; see `recent_lists`
-    /// for `confirmedAt`.
+    /// Sets the VMs of the data centre. Only listed VMs vote or hold leases. `confirmedAt` is the
+    /// time when the platform last confirmed the list.
     void setMembers(std::span<const member> members, steady_time confirmedAt);
 
-    /// Asks for votes where it is time.
+    /// Requests the votes that are due.
     void tick(std::vector<key_home_outgoing> &out);
 
     void onRequest(const vm_id &from, const lease_request &message,
@@ -91,88 +93,91 @@
     void onVote(const vm_id &from, const lease_vote &message);
     void onRelease(const vm_id &from, const lease_release &message);
 
-    /// Tells whether a key of `shard` that was issued then may be accepted now.
+    /// Whether a key of `shard` with this time of issue may be accepted now.
     [[nodiscard]] home_standing standing(std::size_t shard, wall_time issued) const;
 
-    /// Guesses the home of a shard; empty where no node is alive.
+    /// Returns the probable home of a shard; empty if no node is alive.
     [[nodiscard]] vm_id likelyHome(std::size_t shard) const;
 
     [[nodiscard]] bool holdsLease(std::size_t shard) const;
 
-    /// Gives all shards whose lease is valid now.
+    /// Returns the shards on which this node has a valid lease.
     [[nodiscard]] shard_bits held() const;
 
-    /// Gives all shards of which a key that is issued now would be accepted.
+    /// Returns the shards of which a key that is issued now would be accepted.
     [[nodiscard]] shard_bits certain() const;
 
-    /// Asks for no further shard.
+    /// Stops requesting leases on further shards.
     void startLeaving() { m_leaving = true; }
 
-    /// Live VMs that could take a shard over, best first.
+    /// Returns the live VMs that could take over a shard, in order of preference.
     [[nodiscard]] std::vector<vm_id> successors(std::size_t shard) const;
 
-    /// Gives the coverage that a handover passes on; only while the lease is valid.
+    /// Returns the coverage for a handover, or nothing if the lease is not valid.
     [[nodiscard]] std::optional<lease_cover> cover(std::size_t shard) const;
 
-    /// Ends the own lease for good, and tells the voters to vote for `successor` if there is one.
+    /// Ends this node's lease. If there is a successor, transfers the votes to it.
     void giveUp(std::size_t shard, const std::optional<successor_holder> &successor,
                 std::vector<key_home_outgoing> &out);
 
-    /// Takes the coverage of the previous home over, if the lease follows while its lease lasts.
+    /// Inherits the coverage of the previous home if this node gets the lease before the previous
+    /// one ends.
     void inherit(std::size_t shard, const lease_cover &cover);
 
-    /// Tells whether this node could hold a lease: knows the recent lists, is listed, stays.
+    /// Whether this node could hold a lease: it is listed, is not leaving, and its VM lists are
+    /// complete and recent.
     [[nodiscard]] bool eligible() const;
 
-    /// Gives the next round of requests, for a handover's reply.
+    /// Returns the number of the next round of requests, for the reply to a handover.
     [[nodiscard]] std::uint64_t nextRound() const { return m_round + 1; }
 
 private:
     struct shard_state
     {
         steady_time leaseUntil = steady_time::min();
-        wall_time since; // valid while the lease is
+        wall_time since; // start of the coverage; valid while the lease is
         std::optional<lease_cover> inherited;
-        std::uint64_t firstRound = 0; // votes of earlier rounds don't count
-        std::optional<steady_time> freeSince; // no promise of the own voter since
-        bool asked = false;
-        steady_time quietUntil = steady_time::min(); // after a failed candidacy
-        std::uint32_t failures = 0;
+        std::uint64_t firstCountedRound = 0; // votes of earlier rounds are ignored
+        // Since when this node's voter has had no promise to another holder.
+        std::optional<steady_time> freeSince;
+        bool requested = false;
+        steady_time backoffUntil = steady_time::min(); // after a failed candidacy
+        std::uint32_t failedCandidacies = 0;
     };
     struct counted_vote
     {
         steady_time until = steady_time::min();
-        steady_time freeSince; // the voter had promised no other holder since
+        steady_time freeSince; // since when the voter had no promise to another holder
     };
     using voter_votes = std::array<counted_vote, ShardCount>;
 
-    static constexpr std::size_t RememberedRounds = 16;
+    static constexpr std::size_t TrackedRounds = 16;
 
     [[nodiscard]] lease_holder self() const { return {m_settings.vm, m_settings.incarnation}; }
     [[nodiscard]] bool listsUsable(steady_time now) const;
-    [[nodiscard]] steady_time usableUntil(std::size_t shard, steady_time now) const;
-    [[nodiscard]] bool wants(std::size_t shard, steady_time now);
+    [[nodiscard]] steady_time leaseEnd(std::size_t shard, steady_time now) const;
+    [[nodiscard]] bool shouldRequest(std::size_t shard, steady_time now);
     [[nodiscard]] std::size_t rank(std::size_t shard) const;
     [[nodiscard]] bool inheritable(const shard_state &state) const;
-    void refresh(std::size_t shard);
+    void updateLease(std::size_t shard);
     [[nodiscard]] wall_time coverageStart(std::size_t shard, steady_time now) const;
     void recordVotes(const vm_id &voter, std::uint64_t round, shard_bits granted,
                      steady_time freeSince);
     void startRound(shard_bits shards, std::vector<key_home_outgoing> &out);
-    void failCandidacies(std::vector<key_home_outgoing> &out);
+    void withdrawFailedCandidacies(std::vector<key_home_outgoing> &out);
     void sendRelease(const lease_release &message, std::vector<key_home_outgoing> &out);
-    [[nodiscard]] shard_bits wantedShards(bool inheritedOnly);
+    [[nodiscard]] shard_bits shardsToRequest(bool inheritedOnly);
 
     key_home_settings m_settings;
     const clock_source &m_clock;
     lease_voter<Guards> m_voter;
     recent_lists m_lists;
-    std::vector<vm_id> m_live; // listed, alive and not leaving; with this node
+    std::vector<vm_id> m_live; // listed, alive and not leaving; including this node
     std::array<shard_state, ShardCount> m_shards;
     std::unordered_map<vm_id, voter_votes> m_votes;
-    std::array<steady_time, RememberedRounds> m_sentAt{};
+    std::array<steady_time, TrackedRounds> m_sentAt{};
     std::uint64_t m_round = 0;
-    steady_time m_nextRound = steady_time::min();
+    steady_time m_nextRoundAt = steady_time::min();
     bool m_leaving = false;
 };
 
--- a/include/orchidlead/key_home_messages.h
+++ b/include/orchidlead/key_home_messages.h
@@ -15,58 +15,61 @@
 
 namespace orchidlead {
 
-/// Number of shards that the keys of one data centre fall into. All nodes must agree on it.
+/// Number of shards of the keys of one data centre. It must be the same on all nodes.
 inline constexpr std::size_t ShardCount = 64;
 
 /// A set of shards, one bit each.
 using shard_bits = std::uint64_t;
 
-/// Gives the bit of one shard.
 [[nodiscard]] constexpr shard_bits shardBit(std::size_t shard)
 {
     return shard_bits{1} << shard;
 }
 
-/// Gives the shard of a record id; the same in every process.
+/// Returns the shard of a record id. The result is the same in every process.
 [[nodiscard]] std::size_t shardOf(std::string_view id);
 
-/// Asks a voter for its vote on a set of shards: one message for all of them.
+/// Requests a voter's vote on a set of shards, all in one message.
 struct lease_request
 {
     orchidlead::incarnation holder = 0;
-    std::uint64_t round = 0; ///< echoed by the vote; dates the lease
+    /// Echoed by the vote. The lease starts when the request of this round was sent.
+    std::uint64_t round = 0;
     shard_bits shards = 0;
 };
 
-/// A voter's promise, for one lease from now, that it votes for no other holder.
+/// A voter's promise to vote for no other holder for the length of one lease.
 struct lease_vote
 {
     orchidlead::incarnation holder = 0;
     std::uint64_t round = 0;
     shard_bits granted = 0;
-    std::uint32_t freeMilliseconds =
-        0; ///< for how long no other holder had a promise for any of them
+    /// For how long no other holder has had a promise for any of the granted shards.
+    std::uint32_t freeMilliseconds = 0;
 };
 
-/// Gives votes up early, or passes them to a successor.
+/// Releases votes before they expire, or transfers them to a successor.
 struct lease_release
 {
     orchidlead::incarnation holder = 0;
-    std::uint64_t round = 0; ///< votes of later rounds stay: messages may be reordered
+    /// Votes of later rounds stay valid, since messages may be reordered.
+    std::uint64_t round = 0;
     shard_bits shards = 0;
-    vm_id successor; ///< empty: to nobody
+    vm_id successor; ///< empty: votes are not transferred
     orchidlead::incarnation successorIncarnation = 0;
-    std::uint64_t successorRound = 0; ///< from which round on the successor counts votes
+    /// First round of which the successor counts votes.
+    std::uint64_t successorRound = 0;
 };
 
-/// One record of a shard on its way to the next home.
+/// A record of a call, sent to the next home of its shard.
 struct handed_record
 {
     std::string id;
     std::uint64_t digest = 0;
-    std::int64_t keepMilliseconds = 0; ///< how much longer it must be kept
-    bool finished = false; ///< false: accepted by the previous home, and its fate is open
-    std::string answer; ///< opaque; only where finished
+    std::int64_t keepMilliseconds = 0; ///< remaining retention time
+    /// False if the call was accepted by the previous home and its outcome is open.
+    bool finished = false;
+    std::string answer; ///< encoded; empty unless finished
 };
 
 /// One part of the handover of a shard.
@@ -81,7 +84,7 @@
     std::vector<handed_record> records;
 };
 
-/// Acknowledges one part, or declines the handover.
+/// Acknowledges one part, or rejects the handover.
 struct handover_reply
 {
     orchidlead::incarnation holder = 0;
@@ -95,7 +98,7 @@
 using key_home_message =
     std::variant<lease_request, lease_vote, lease_release, shard_handover, handover_reply>;
 
-/// Why bytes are no message.
+/// Reason why a message could not be decoded.
 enum class key_home_codec_error { TooLong, Malformed, OutOfRange };
 
 template <>
--- a/include/orchidlead/lease_voter.h
+++ b/include/orchidlead/lease_voter.h
@@ -12,7 +12,7 @@
 
 namespace orchidlead {
 
-/// One process that holds, or asks for, leases.
+/// A process that holds or requests leases.
 struct lease_holder
 {
     vm_id vm;
@@ -21,10 +21,10 @@
     friend auto operator<=>(const lease_holder &, const lease_holder &) = default;
 };
 
-/// Promises, shard by shard, to vote for no other holder for one lease. Volatile.
+/// Grants votes per shard. A vote promises to vote for no other holder for the length of a lease.
 ///
-/// A process that has just started doesn't know what its predecessor promised, so that it grants
-/// nothing for one whole lease.
+/// Promises are kept in memory only. A process that has just started has lost those of its
+/// predecessor, and therefore grants nothing for the length of one lease.
 template <at_most_once_guards Guards>
 class lease_voter
 {
@@ -32,39 +32,39 @@
     lease_voter(milliseconds lease, const clock_source &clock)
         : m_lease(lease)
         , m_clock(clock)
-        , m_quietUntil(clock.now() + lease)
+        , m_noGrantsBefore(clock.now() + lease)
     {
-        // What the predecessor promised ends with the quiet time.
+        // The predecessor's promises have expired by then.
         for (promise &given : m_promises)
-            given.otherUntil = m_quietUntil;
+            given.otherHolderUntil = m_noGrantsBefore;
     }
 
-    /// What a voter grants.
     struct granted_shards
     {
         shard_bits shards = 0;
-        steady_time freeSince; ///< no other holder had a promise for any of them since
+        /// Since when no other holder had a promise for any of these shards.
+        steady_time freeSince;
     };
 
-    /// Votes for `holder` on each shard that isn't promised to another.
+    /// Votes for `holder` on each shard that is not promised to another holder.
     granted_shards grant(const lease_holder &holder, std::uint64_t round, shard_bits shards)
     {
         const auto now = m_clock.now();
-        if (Guards::FreshVoterWaits && now < m_quietUntil)
+        if (Guards::FreshVoterWaits && now < m_noGrantsBefore)
             return {0, now};
-        granted_shards granted{0, m_quietUntil}; // no promise is known to have ended before
+        granted_shards granted{0, m_noGrantsBefore}; // promises before the start were lost
         for (std::size_t shard = 0; shard < ShardCount; ++shard) {
             promise &given = m_promises[shard];
             if ((shards & shardBit(shard)) == 0 || !grantOne(given, holder, round, now))
                 continue;
             granted.shards |= shardBit(shard);
-            granted.freeSince = std::max(granted.freeSince, given.otherUntil);
+            granted.freeSince = std::max(granted.freeSince, given.otherHolderUntil);
         }
         return granted;
     }
 
-    /// Ends promises to `from`, or passes them on with the time that is left of them. A release
-    /// that a later vote has overtaken is ignored: the holder counts on that vote.
+    /// Ends promises to `from`, or transfers them to a successor for their remaining time. A
+    /// release is ignored for a vote of a later round: the holder relies on that vote.
     void release(const vm_id &from, const lease_release &message)
     {
         const lease_holder holder{from, message.holder};
@@ -76,14 +76,14 @@
             if (message.successor.empty()) {
                 given.until = std::min(given.until, m_clock.now());
             } else {
-                given.otherUntil = std::max(given.otherUntil, given.until);
+                given.otherHolderUntil = std::max(given.otherHolderUntil, given.until);
                 given.holder = {message.successor, message.successorIncarnation};
                 given.round = message.successorRound;
             }
         }
     }
 
-    /// Gives who is promised a shard now.
+    /// Returns the holder that the shard is promised to now, or null.
     [[nodiscard]] const lease_holder *promisedTo(std::size_t shard) const
     {
         const promise &given = m_promises[shard];
@@ -94,9 +94,9 @@
     struct promise
     {
         lease_holder holder;
-        std::uint64_t round = 0; // of the holder's requests; only rises
+        std::uint64_t round = 0; // highest one of the holder's requests
         steady_time until = steady_time::min();
-        steady_time otherUntil; // end of the last promise to another holder
+        steady_time otherHolderUntil; // end of the last promise to another holder
     };
 
     bool grantOne(promise &given, const lease_holder &holder, std::uint64_t round, steady_time now)
@@ -105,7 +105,7 @@
             return false;
         const bool same = given.holder == holder;
         if (!same)
-            given.otherUntil = std::max(given.otherUntil, given.until);
+            given.otherHolderUntil = std::max(given.otherHolderUntil, given.until);
         given.holder = holder;
         given.round = same ? std::max(given.round, round) : round;
         given.until = now + m_lease;
@@ -114,7 +114,7 @@
 
     milliseconds m_lease;
     const clock_source &m_clock;
-    steady_time m_quietUntil;
+    steady_time m_noGrantsBefore;
     std::array<promise, ShardCount> m_promises;
 };
 
--- a/include/orchidlead/outcome.h
+++ b/include/orchidlead/outcome.h
@@ -6,12 +6,13 @@
 
 namespace orchidlead {
 
-/// The closed set of ends that a request can have. Each is said only where the history proves it.
+/// How a request ended. A node reports an outcome only if the events that it recorded prove it.
 enum class outcome {
-    Answered, ///< the whole answer is here
-    NotRun, ///< refused, and nothing was dispatched on any node
-    Failed, ///< something ran and there is no answer
-    Unknown, ///< a call that may not be repeated was sent and its fate can't be learnt
+    Answered, ///< the answer is complete
+    NotRun, ///< refused, and dispatched by no node
+    Failed, ///< something ran, and no answer is available
+    /// A non-repeatable call may have been dispatched, and whether it ran cannot be determined.
+    Unknown,
     Expired, ///< the deadline passed after something was dispatched
 };
 
@@ -24,20 +25,21 @@
     enum_name<outcome>{outcome::Expired, "expired"},
 };
 
-/// Why a request ended other than with an answer; part of the caller's interface.
+/// Why a request ended without an answer; part of the interface for callers.
 enum class refusal_reason {
     None,
     InvalidRequest, ///< malformed, or unknown customer or pipeline
     TooLarge,
-    DeadlineTooShort, ///< the stages can't be finished in time
+    DeadlineTooShort, ///< the stages cannot finish in time
     Overloaded, ///< queue or limit full
     NoBackendServer, ///< no usable backend server of a service
     NoConfiguration, ///< the node has no configuration yet
-    Stopping, ///< the node is leaving
-    KeyExpired, ///< the idempotency key or ticket is older than its window
-    KeyInUse, ///< the key was already used, and its result can't be given again
-    HomeUncertain, ///< no node can be sure to be the key's home now
-    HomeUnreachable, ///< the node that holds the key or ticket can't be reached
+    Stopping, ///< the node is shutting down
+    KeyExpired, ///< the key or ticket is past its window
+    KeyInUse, ///< the key was used, and its answer is unavailable
+    HomeUncertain, ///< no node is certain to be the key's home
+    /// The node that decides about the key or ticket cannot be reached.
+    HomeUnreachable,
     StageFailed,
     DeadlinePassed,
     Cancelled,
--- a/include/orchidlead/ticket.h
+++ b/include/orchidlead/ticket.h
@@ -12,7 +12,7 @@
 
 namespace orchidlead {
 
-/// Permission to run one call once, on the node that minted it.
+/// Permits the process that minted it to run one call once.
 ///
 /// Text form: `t.<vm>.<incarnation in hex>.<sequence>`.
 struct ticket
@@ -24,7 +24,7 @@
     friend auto operator<=>(const ticket &, const ticket &) = default;
 };
 
-/// Why a text is no ticket.
+/// Reason why a text is not a valid ticket.
 enum class ticket_error { TooLong, BadPrefix, BadVm, BadIncarnation, BadSequence };
 
 template <>
@@ -36,13 +36,12 @@
     enum_name<ticket_error>{ticket_error::BadSequence, "bad_sequence"},
 };
 
-/// Longest text of a ticket that is accepted, in bytes.
+/// Longest accepted text of a ticket, in bytes.
 inline constexpr std::size_t MaxTicketLength = 128;
 
-/// Gives the text form.
 [[nodiscard]] std::string toText(const ticket &value);
 
-/// Reads the text form. The name of a VM may hold letters, digits, `-`, `_`, `:` and `.`.
+/// Parses the text form. The name of a VM may hold letters, digits, `-`, `_`, `:` and `.`.
 [[nodiscard]] result<ticket, ticket_error> parseTicket(std::string_view text);
 
 } // namespace orchidlead
--- a/include/orchidlead/ticket_ledger.h
+++ b/include/orchidlead/ticket_ledger.h
@@ -13,13 +13,15 @@
 
 namespace orchidlead {
 
-/// What a ledger knows of a ticket.
+/// Whether a ticket may run in this process, and if not, why.
 enum class ticket_standing {
-    Valid, ///< minted by this process, and young enough to run
+    Valid, ///< minted by this process and not expired
     OtherVm,
-    OtherIncarnation, ///< minted by an earlier or later process on this VM
+    /// Minted by an earlier or later process on this VM.
+    OtherIncarnation,
     NeverMinted,
-    Expired, ///< below the floor: whether it ran is forgotten, so that it never runs
+    /// Older than the window. The record of the call may have been dropped, so it must not run.
+    Expired,
 };
 
 template <>
@@ -31,10 +33,10 @@
     enum_name<ticket_standing>{ticket_standing::Expired, "expired"},
 };
 
-/// Mints the tickets of one process and tells which of them may still run.
+/// Mints the tickets of one process and determines which of them may still run.
 ///
-/// Sequence numbers below a floor that only rises are expired, so that forgetting a ticket never
-/// lets it run again.
+/// All sequence numbers below a floor are expired, and the floor only rises. Dropping the state of
+/// a ticket therefore never makes it valid again.
 class ticket_ledger
 {
 public:
@@ -42,15 +44,15 @@
     ticket_ledger(vm_id vm, incarnation self, milliseconds window, std::size_t capacity,
                   const clock_source &clock);
 
-    /// Mints the next ticket; nothing while `capacity` are valid.
+    /// Mints the next ticket. Returns nothing while `capacity` are valid.
     [[nodiscard]] std::optional<ticket> mint();
 
     [[nodiscard]] ticket_standing standing(const ticket &value) const;
 
-    /// Raises the floor over all that have expired.
+    /// Raises the floor above the expired tickets.
     void tick();
 
-    /// Gives when a valid ticket expires.
+    /// Returns the time when a valid ticket expires.
     [[nodiscard]] steady_time expiry(const ticket &value) const;
 
 private:
@@ -62,7 +64,7 @@
     std::size_t m_capacity;
     const clock_source &m_clock;
     std::uint64_t m_floor = 1;
-    std::deque<steady_time> m_mintedAt; // of the sequence numbers from m_floor on
+    std::deque<steady_time> m_mintedAt; // by sequence number, from m_floor on
 };
 
 } // namespace orchidlead
--- a/src/core/once/at_most_once_definitions.h
+++ b/src/core/once/at_most_once_definitions.h
@@ -7,17 +7,16 @@
 #include <algorithm>
 #include <utility>
 
-/// The member functions of `basic_at_most_once`, for those who instantiate it with guards of their
-/// own.
+/// The member functions of `basic_at_most_once`, for instantiation with other guards.
 namespace orchidlead {
 
 namespace at_most_once_detail {
 
-inline constexpr std::size_t MaxCustomerLength = 128;
-inline constexpr std::size_t MaxHandedOutput = 256U << 10U;
-inline constexpr std::size_t PartBytes = 64U << 10U;
-inline constexpr std::size_t MaxSuccessors = 3;
-inline constexpr std::size_t DatagramBytes = 1'200;
+inline constexpr std::size_t MaxCustomerBytes = 128;
+inline constexpr std::size_t MaxHandedOutputBytes = 256U << 10U;
+inline constexpr std::size_t HandoverPartBytes = 64U << 10U;
+inline constexpr std::size_t MaxSuccessorAttempts = 3;
+inline constexpr std::size_t MaxDatagramBytes = 1'200;
 
 inline refuse_call refusal(outcome ended, refusal_reason reason, std::string detail,
                            std::optional<milliseconds> retryAfter = std::nullopt)
@@ -25,13 +24,13 @@
     return {ended, reason, std::move(detail), retryAfter};
 }
 
-// A customer's name and a key can't run into each other: neither holds a zero byte.
-inline std::string keyId(const customer_id &customer, const idempotency_key &key)
+// The zero byte makes the id unambiguous: neither a customer's name nor a key holds one.
+inline std::string keyRecordId(const customer_id &customer, const idempotency_key &key)
 {
     return "k" + customer.value + '\0' + key.text;
 }
 
-inline bool isKeyId(std::string_view id)
+inline bool isKeyRecordId(std::string_view id)
 {
     return id.starts_with('k');
 }
@@ -96,12 +95,12 @@
     const ticket &value = parsed.value();
     const call_record *record = m_records.find(toText(value));
     if (record != nullptr && Guards::TicketRunsOnce)
-        return known(*record, request);
+        return verdictOnRecord(*record, request);
     return onNewTicket(request, value);
 }
 
-// A ticket that isn't valid here may have run, or may run yet where it is valid: all that can be
-// said of it is that it is unknown.
+// A ticket that is not valid on this node may have run, or may still run on the node where it is
+// valid. Its outcome is therefore `Unknown`.
 template <at_most_once_guards Guards>
 once_verdict basic_at_most_once<Guards>::onNewTicket(const once_request &request,
                                                      const ticket &value)
@@ -138,11 +137,11 @@
         return refusal(outcome::NotRun, refusal_reason::InvalidRequest,
                        "idempotency key: " + std::string{toName(key.error())});
     }
-    if (request.customer.value.size() > at_most_once_detail::MaxCustomerLength)
+    if (request.customer.value.size() > at_most_once_detail::MaxCustomerBytes)
         return refusal(outcome::NotRun, refusal_reason::InvalidRequest, "customer: too long");
-    const auto id = at_most_once_detail::keyId(request.customer, key.value());
+    const auto id = at_most_once_detail::keyRecordId(request.customer, key.value());
     if (const call_record *record = m_records.find(id))
-        return known(*record, request);
+        return verdictOnRecord(*record, request);
     return onNewKey(request, key.value(), id);
 }
 
@@ -163,7 +162,7 @@
         return forward_to{{}, request.homeDataCenter, forward_kind::Key};
     const std::size_t shard = shardOf(id);
     auto standing = m_home.standing(shard, key.issued);
-    if (elsewhere || (m_frozen & shardBit(shard)) != 0)
+    if (elsewhere || (m_frozenShards & shardBit(shard)) != 0)
         standing = home_standing::NoLease;
     if (standing != home_standing::Certain)
         return onUncertain(request, shard, standing);
@@ -172,8 +171,8 @@
                   m_clock.now() + std::chrono::duration_cast<steady_time::duration>(left));
 }
 
-// The request may be a resend of one that another node ran, or is about to run: `NotRun` can't be
-// proved here.
+// The request may be a resend of a call that another node has run or is about to run. This node
+// cannot prove `NotRun`.
 template <at_most_once_guards Guards>
 once_verdict basic_at_most_once<Guards>::onUncertain(const once_request &request, std::size_t shard,
                                                      home_standing standing) const
@@ -197,8 +196,8 @@
                    m_settings.renewal);
 }
 
-// With all places taken, the refusal can't be remembered, so that a delayed copy of the request
-// could run later: `NotRun` would promise too much for a call that has a name.
+// If there is no room for a record, the refusal cannot be recorded, and a delayed copy of the
+// request could run later. The outcome is therefore `Unknown` for a call with a ticket or key.
 template <at_most_once_guards Guards>
 once_verdict basic_at_most_once<Guards>::accept(const once_request &request, const std::string &id,
                                                 steady_time keepUntil)
@@ -216,8 +215,8 @@
 }
 
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::known(const call_record &record,
-                                               const once_request &request)
+once_verdict basic_at_most_once<Guards>::verdictOnRecord(const call_record &record,
+                                                         const once_request &request)
 {
     using at_most_once_detail::refusal;
     if (record.digest != at_most_once_detail::scopedDigest(request)) {
@@ -240,8 +239,8 @@
                    "the call was answered, and the answer is no longer kept");
 }
 
-// Nothing but the own record is asked: once a key is accepted, no other node ever accepts it, so
-// that a pause between this check and the send does no harm (docs/DESIGN.md).
+// Checks only the local record. Once this node has accepted a key, no other node accepts it, so a
+// pause between this check and the send is harmless (docs/DESIGN.md).
 template <at_most_once_guards Guards>
 bool basic_at_most_once<Guards>::mayDispatch(record_handle record) const
 {
@@ -279,8 +278,8 @@
 {
     m_ledger.tick();
     m_records.expire(m_clock.now());
-    std::vector<key_home_outgoing> messages = std::move(m_queued);
-    m_queued.clear();
+    std::vector<key_home_outgoing> messages = std::move(m_pendingMessages);
+    m_pendingMessages.clear();
     m_home.tick(messages);
     for (const auto &failed : m_sender.tick(messages))
         endHandover(failed, messages);
@@ -317,7 +316,7 @@
 {
     for (const auto &each : messages) {
         std::string bytes = encodeKeyHomeMessage(each.message);
-        const bool bulk = bytes.size() > at_most_once_detail::DatagramBytes;
+        const bool bulk = bytes.size() > at_most_once_detail::MaxDatagramBytes;
         out.push_back({each.to, std::move(bytes), bulk});
     }
 }
@@ -340,19 +339,19 @@
         beginHandover(shard);
 }
 
-// From here on no new key of the shard is accepted, so that the records and the coverage that are
-// handed over are the last word on it.
+// This node accepts no new key of the shard from now on, so the records and the coverage that are
+// handed over are complete.
 template <at_most_once_guards Guards>
 void basic_at_most_once<Guards>::beginHandover(std::size_t shard)
 {
-    m_frozen |= shardBit(shard);
+    m_frozenShards |= shardBit(shard);
     const auto cover = m_home.cover(shard);
     if (!cover)
         return;
     auto parts = handoverParts(shard, *cover);
     auto successors = m_home.successors(shard);
-    if (successors.size() > at_most_once_detail::MaxSuccessors)
-        successors.resize(at_most_once_detail::MaxSuccessors);
+    if (successors.size() > at_most_once_detail::MaxSuccessorAttempts)
+        successors.resize(at_most_once_detail::MaxSuccessorAttempts);
     if (parts.size() > MaxHandoverParts)
         successors.clear();
     m_sender.begin(shard, std::move(parts), std::move(successors));
@@ -372,14 +371,14 @@
     std::vector<shard_handover> parts{head};
     std::size_t bytes = 0;
     m_records.forEach([&](const call_record &record) {
-        if (!at_most_once_detail::isKeyId(record.id) || shardOf(record.id) != shard)
+        if (!at_most_once_detail::isKeyRecordId(record.id) || shardOf(record.id) != shard)
             return;
-        if (bytes > at_most_once_detail::PartBytes
+        if (bytes > at_most_once_detail::HandoverPartBytes
             || parts.back().records.size() >= MaxRecordsInPart) {
             parts.push_back(head);
             bytes = 0;
         }
-        parts.back().records.push_back(handed(record));
+        parts.back().records.push_back(toHandedRecord(record));
         bytes += record.id.size() + parts.back().records.back().answer.size();
     });
     for (std::size_t i = 0; i < parts.size(); ++i) {
@@ -390,7 +389,7 @@
 }
 
 template <at_most_once_guards Guards>
-handed_record basic_at_most_once<Guards>::handed(const call_record &record) const
+handed_record basic_at_most_once<Guards>::toHandedRecord(const call_record &record) const
 {
     const auto left = std::chrono::ceil<milliseconds>(record.keepUntil - m_clock.now());
     handed_record out;
@@ -399,16 +398,16 @@
     out.keepMilliseconds = std::max(left, milliseconds{0}).count();
     out.finished = record.state == call_state::Finished;
     if (out.finished)
-        out.answer = encodeAnswer(record.answer, at_most_once_detail::MaxHandedOutput);
+        out.answer = encodeAnswer(record.answer, at_most_once_detail::MaxHandedOutputBytes);
     return out;
 }
 
-// A call that was in flight at the handover ends here; the next home learns how. If this message is
-// lost, the next home goes on answering `Unknown`, which is true.
+// Sends the outcome of a call that was in flight at the handover to the new home. If this message
+// is lost, the new home continues to answer `Unknown`, which is correct.
 template <at_most_once_guards Guards>
 void basic_at_most_once<Guards>::updateSuccessor(const call_record &record)
 {
-    if (!at_most_once_detail::isKeyId(record.id))
+    if (!at_most_once_detail::isKeyRecordId(record.id))
         return;
     const std::size_t shard = shardOf(record.id);
     const auto successor = m_successors.find(shard);
@@ -417,18 +416,18 @@
     shard_handover update;
     update.holder = m_settings.incarnation;
     update.shard = static_cast<std::uint32_t>(shard);
-    update.records.push_back(handed(record));
-    m_queued.push_back({successor->second, std::move(update)});
+    update.records.push_back(toHandedRecord(record));
+    m_pendingMessages.push_back({successor->second, std::move(update)});
 }
 
 template <at_most_once_guards Guards>
 bool basic_at_most_once<Guards>::handedOver() const
 {
-    return m_leaving && m_sender.idle() && m_queued.empty();
+    return m_leaving && m_sender.idle() && m_pendingMessages.empty();
 }
 
 template <at_most_once_guards Guards>
-void basic_at_most_once<Guards>::endHandover(const handover_sender::ended &handover,
+void basic_at_most_once<Guards>::endHandover(const handover_sender::ended_handover &handover,
                                              std::vector<key_home_outgoing> &out)
 {
     m_home.giveUp(handover.shard, handover.successor, out);
@@ -449,22 +448,22 @@
                                             std::vector<key_home_outgoing> &out)
 {
     const bool update = message.leaseEnd == 0;
-    const bool taken = takeRecords(message) && (update || m_home.eligible());
+    const bool stored = storeRecords(message) && (update || m_home.eligible());
     if (update)
         return;
     out.push_back({from,
                    handover_reply{message.holder, message.shard, message.part,
-                                  m_settings.incarnation, m_home.nextRound(), taken}});
-    if (!taken || !completes(from, message))
+                                  m_settings.incarnation, m_home.nextRound(), stored}});
+    if (!stored || !addPart(from, message))
         return;
     const lease_cover cover{wall_time{milliseconds{message.coveredSince}},
                             wall_time{milliseconds{message.leaseEnd}}};
     m_home.inherit(message.shard, cover);
 }
 
-// Records are taken even if the handover fails later: to know of a call is never wrong.
+// Stores the records even if the handover fails later: an additional record is harmless.
 template <at_most_once_guards Guards>
-bool basic_at_most_once<Guards>::takeRecords(const shard_handover &message)
+bool basic_at_most_once<Guards>::storeRecords(const shard_handover &message)
 {
     for (const auto &each : message.records) {
         call_record *record = m_records.find(each.id);
@@ -485,8 +484,9 @@
     return true;
 }
 
+// Returns whether all parts of the handover have arrived.
 template <at_most_once_guards Guards>
-bool basic_at_most_once<Guards>::completes(const vm_id &from, const shard_handover &message)
+bool basic_at_most_once<Guards>::addPart(const vm_id &from, const shard_handover &message)
 {
     incoming_handover &incoming = m_incoming[message.shard];
     const bool same = incoming.from == from && incoming.holder == message.holder
--- a/src/core/once/guards.h
+++ b/src/core/once/guards.h
@@ -4,11 +4,11 @@
 
 #include <concepts>
 
-/// Rules that must hold whatever the load. They are policies so that tests can take one out and
-/// show what it prevents; the daemon knows only the guarded ones.
+/// Rules that must hold under any load. They are policies, so that tests can disable one and show
+/// which failure it prevents. The daemon uses only the guarded policies.
 namespace orchidlead {
 
-/// Whether an answer belongs to the attempt that it arrived for.
+/// Decides whether an answer belongs to the attempt for which it arrived.
 template <class Guard>
 concept answer_guard = requires(const attempt_key &sent, const attempt_key &echoed)
 {
@@ -25,14 +25,14 @@
     }
 };
 
-/// What is known of an attempt that ended without an answer.
+/// How an attempt without an answer ended.
 struct attempt_end
 {
     attempt_failure failure = attempt_failure::Broken;
-    bool sent = false; ///< a byte may have left this process
+    bool sent = false; ///< bytes may have been sent
 };
 
-/// Tells whether the end of an attempt proves that the backend server didn't run it.
+/// Whether the end of an attempt proves that the backend server did not run it.
 [[nodiscard]] constexpr bool provesNotRun(const attempt_end &end)
 {
     switch (end.failure) {
@@ -50,7 +50,7 @@
     return false;
 }
 
-/// Whether a stage may be tried again, and what an ended attempt proves.
+/// Decides whether a stage may be retried or hedged, and whether an ended attempt did not run.
 template <class Guard>
 concept repeat_guard = requires(const stage_plan &stage, const attempt_end &end)
 {
--- a/src/core/once/handover_sender.cpp
+++ b/src/core/once/handover_sender.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr milliseconds ResendAfter{500};
-constexpr milliseconds GiveUpAfter{2'000}; // without any acknowledgement
-constexpr std::size_t PartsAtOnce = 4;
+constexpr milliseconds ResendInterval{500};
+constexpr milliseconds SuccessorTimeout{2'000}; // without any acknowledgement
+constexpr std::size_t PartsPerSend = 4;
 
 } // namespace
 
@@ -20,41 +20,43 @@
 void handover_sender::begin(std::size_t shard, std::vector<shard_handover> parts,
                             std::vector<vm_id> successors)
 {
-    outgoing handover;
+    outgoing_handover handover;
     handover.acknowledged.assign(parts.size(), false);
     handover.parts = std::move(parts);
     handover.successors = std::move(successors);
-    handover.triedSince = m_clock.now();
-    handover.nextSend = m_clock.now();
+    handover.lastProgressAt = m_clock.now();
+    handover.nextSendAt = m_clock.now();
     m_shards.insert_or_assign(shard, std::move(handover));
 }
 
-std::vector<handover_sender::ended> handover_sender::tick(std::vector<key_home_outgoing> &out)
+std::vector<handover_sender::ended_handover>
+handover_sender::tick(std::vector<key_home_outgoing> &out)
 {
     const auto now = m_clock.now();
-    std::vector<ended> without;
+    std::vector<ended_handover> unplaced;
     for (auto entry = m_shards.begin(); entry != m_shards.end();) {
-        outgoing &handover = entry->second;
-        if (!handover.successors.empty() && now >= handover.triedSince + GiveUpAfter)
-            tryNext(handover);
+        outgoing_handover &handover = entry->second;
+        if (!handover.successors.empty() && now >= handover.lastProgressAt + SuccessorTimeout)
+            tryNextSuccessor(handover);
         if (handover.successors.empty()) {
-            without.push_back({entry->first, std::nullopt});
+            unplaced.push_back({entry->first, std::nullopt});
             entry = m_shards.erase(entry);
             continue;
         }
-        if (now >= handover.nextSend) {
-            handover.nextSend = now + ResendAfter;
+        if (now >= handover.nextSendAt) {
+            handover.nextSendAt = now + ResendInterval;
             sendParts(handover, out);
         }
         ++entry;
     }
-    return without;
+    return unplaced;
 }
 
-void handover_sender::sendParts(const outgoing &handover, std::vector<key_home_outgoing> &out)
+void handover_sender::sendParts(const outgoing_handover &handover,
+                                std::vector<key_home_outgoing> &out)
 {
     std::size_t sent = 0;
-    for (std::size_t i = 0; i < handover.parts.size() && sent < PartsAtOnce; ++i) {
+    for (std::size_t i = 0; i < handover.parts.size() && sent < PartsPerSend; ++i) {
         if (handover.acknowledged[i])
             continue;
         out.push_back({handover.successors.front(), handover.parts[i]});
@@ -62,36 +64,37 @@
     }
 }
 
-void handover_sender::tryNext(outgoing &handover)
+void handover_sender::tryNextSuccessor(outgoing_handover &handover)
 {
     handover.successors.erase(handover.successors.begin());
     std::fill(handover.acknowledged.begin(), handover.acknowledged.end(), false);
-    handover.triedSince = m_clock.now();
-    handover.nextSend = m_clock.now();
+    handover.lastProgressAt = m_clock.now();
+    handover.nextSendAt = m_clock.now();
 }
 
-std::optional<handover_sender::ended> handover_sender::onReply(const vm_id &from,
-                                                               const handover_reply &reply)
+std::optional<handover_sender::ended_handover> handover_sender::onReply(const vm_id &from,
+                                                                        const handover_reply &reply)
 {
     const auto found = m_shards.find(reply.shard);
     if (found == m_shards.end())
         return std::nullopt;
-    outgoing &handover = found->second;
+    outgoing_handover &handover = found->second;
     const bool expected = !handover.successors.empty() && handover.successors.front() == from
         && reply.holder == handover.parts.front().holder && reply.part < handover.parts.size();
     if (!expected)
         return std::nullopt;
     if (!reply.accepted) {
-        tryNext(handover);
+        tryNextSuccessor(handover);
         return std::nullopt;
     }
     handover.acknowledged[reply.part] = true;
-    handover.triedSince = m_clock.now();
-    handover.nextSend = m_clock.now();
+    handover.lastProgressAt = m_clock.now();
+    handover.nextSendAt = m_clock.now();
     const auto &all = handover.acknowledged;
     if (std::find(all.begin(), all.end(), false) != all.end())
         return std::nullopt;
-    const ended done{reply.shard, successor_holder{{from, reply.successor}, reply.successorRound}};
+    const ended_handover done{reply.shard,
+                              successor_holder{{from, reply.successor}, reply.successorRound}};
     m_shards.erase(found);
     return done;
 }
--- a/src/core/once/handover_sender.h
+++ b/src/core/once/handover_sender.h
@@ -13,46 +13,46 @@
 namespace orchidlead {
 
 /// Sends the records of a leaving node's shards to their next homes, until each part is
-/// acknowledged or nobody is left to take them.
+/// acknowledged or no candidate is left.
 class handover_sender
 {
 public:
     explicit handover_sender(const clock_source &clock);
 
-    /// Starts to send `parts`, to the first of `successors` that takes them.
+    /// Starts to send `parts` to the first of `successors` that accepts them.
     void begin(std::size_t shard, std::vector<shard_handover> parts, std::vector<vm_id> successors);
 
-    /// A shard that no longer needs sending: taken by a successor, or by none.
-    struct ended
+    /// A handover that has ended; without a successor if no candidate accepted it.
+    struct ended_handover
     {
         std::size_t shard = 0;
         std::optional<successor_holder> successor;
     };
 
-    /// Sends what is due; gives the shards that found no successor.
-    std::vector<ended> tick(std::vector<key_home_outgoing> &out);
+    /// Sends the parts that are due. Returns the handovers that have no candidate left.
+    std::vector<ended_handover> tick(std::vector<key_home_outgoing> &out);
 
-    /// Takes a successor's reply; gives the shard if that ends its handover.
-    std::optional<ended> onReply(const vm_id &from, const handover_reply &reply);
+    /// Processes a successor's reply. Returns the handover if the reply completes it.
+    std::optional<ended_handover> onReply(const vm_id &from, const handover_reply &reply);
 
     [[nodiscard]] bool idle() const { return m_shards.empty(); }
     [[nodiscard]] bool sends(std::size_t shard) const { return m_shards.contains(shard); }
 
 private:
-    struct outgoing
+    struct outgoing_handover
     {
         std::vector<shard_handover> parts;
         std::vector<bool> acknowledged;
-        std::vector<vm_id> successors; // the first one is being tried
-        steady_time triedSince;
-        steady_time nextSend;
+        std::vector<vm_id> successors; // the first is the current candidate
+        steady_time lastProgressAt;
+        steady_time nextSendAt;
     };
 
-    static void sendParts(const outgoing &handover, std::vector<key_home_outgoing> &out);
-    void tryNext(outgoing &handover);
+    static void sendParts(const outgoing_handover &handover, std::vector<key_home_outgoing> &out);
+    void tryNextSuccessor(outgoing_handover &handover);
 
     const clock_source &m_clock;
-    std::map<std::size_t, outgoing> m_shards;
+    std::map<std::size_t, outgoing_handover> m_shards;
 };
 
 } // namespace orchidlead
--- a/src/core/once/idempotency_key.cpp
+++ b/src/core/once/idempotency_key.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Keeps the arithmetic on time points far from overflow; in the year 33658.
+// In the year 33658. Prevents overflow in arithmetic on time points.
 constexpr std::int64_t MaxUnixMilliseconds = 1'000'000'000'000'000;
 
 bool isRandomText(std::string_view text)
--- a/src/core/once/key_home_definitions.h
+++ b/src/core/once/key_home_definitions.h
@@ -6,15 +6,16 @@
 #include <algorithm>
 #include <utility>
 
-/// The member functions of `basic_key_home`, for those who instantiate it with guards of their own.
+/// The member functions of `basic_key_home`, for instantiation with other guards.
 namespace orchidlead {
 
 namespace key_home_detail {
 
-// Two monotonic clocks drift apart by far less than this share of a lease.
+// The holder's lease is shorter than the voter's promise by 1/DriftDivisor of it. The drift between
+// two monotonic clocks is far smaller.
 inline constexpr int DriftDivisor = 100;
 
-// Spreads the new tries of candidates that stood in each other's way.
+// Spreads the retries of candidates that have split the votes.
 inline constexpr std::uint64_t MaxBackoffRounds = 4;
 
 inline milliseconds holderLease(milliseconds lease)
@@ -56,7 +57,7 @@
     m_lists.set(std::move(listed), confirmedAt, now);
     std::erase_if(m_votes, [this](const auto &entry) { return !m_lists.contains(entry.first); });
     for (std::size_t shard = 0; shard < ShardCount; ++shard)
-        refresh(shard);
+        updateLease(shard);
 }
 
 template <at_most_once_guards Guards>
@@ -75,9 +76,9 @@
     return !Guards::ListMustBeFresh || now < m_lists.freshUntil();
 }
 
-// The lease ends with the votes or with the list's freshness, whichever comes first.
+// The lease ends when the votes expire or the list becomes too old, whichever comes first.
 template <at_most_once_guards Guards>
-steady_time basic_key_home<Guards>::usableUntil(std::size_t shard, steady_time now) const
+steady_time basic_key_home<Guards>::leaseEnd(std::size_t shard, steady_time now) const
 {
     if (!listsUsable(now))
         return steady_time::min();
@@ -93,25 +94,26 @@
     return Guards::ListMustBeFresh ? std::min(until, m_lists.freshUntil()) : until;
 }
 
-// A lease that lapsed, be it for a moment, begins anew: another node may have held it in between.
+// A lease that lapsed, however briefly, starts again with new coverage: another node may have held
+// it in between.
 template <at_most_once_guards Guards>
-void basic_key_home<Guards>::refresh(std::size_t shard)
+void basic_key_home<Guards>::updateLease(std::size_t shard)
 {
     const auto now = m_clock.now();
     shard_state &state = m_shards[shard];
-    const auto until = usableUntil(shard, now);
+    const auto until = leaseEnd(shard, now);
     const bool begins = state.leaseUntil <= now && until > now;
     if (begins) {
         state.since = inheritable(state) ? state.inherited->since : coverageStart(shard, now);
         state.inherited.reset();
-        state.failures = 0;
+        state.failedCandidacies = 0;
     }
     state.leaseUntil = until;
 }
 
-// A lease of another node would have needed one of the voters that vote now, since majorities meet:
-// it ended before that voter's last promise to another did. How far back the lists are known well
-// enough for that bounds it: a holder before may have used a list that was maxListAge old.
+// Majorities intersect, so an earlier lease of another node included one of the current voters. It
+// ended no later than that voter's last promise to another holder. Coverage goes back at most
+// `maxListAge`, since an earlier holder may have used a list of that age.
 template <at_most_once_guards Guards>
 wall_time basic_key_home<Guards>::coverageStart(std::size_t shard, steady_time now) const
 {
@@ -125,8 +127,8 @@
     return m_clock.wallNow() - std::chrono::duration_cast<wall_time::duration>(ago);
 }
 
-// Coverage may be taken over only if no third node can have held the lease in between, so while
-// the previous home's lease still lasts by any clock within the bound.
+// Coverage may be inherited only if no third node can have held the lease in between. The previous
+// home's lease must therefore still be valid by any clock within `clockSkew`.
 template <at_most_once_guards Guards>
 bool basic_key_home<Guards>::inheritable(const shard_state &state) const
 {
@@ -141,17 +143,17 @@
 {
     const auto now = m_clock.now();
     m_lists.tick(now);
-    if (now < m_nextRound) {
-        startRound(wantedShards(true), out);
+    if (now < m_nextRoundAt) {
+        startRound(shardsToRequest(true), out);
         return;
     }
-    m_nextRound = now + m_settings.renewal;
-    failCandidacies(out);
-    startRound(wantedShards(false), out);
+    m_nextRoundAt = now + m_settings.renewal;
+    withdrawFailedCandidacies(out);
+    startRound(shardsToRequest(false), out);
 }
 
 template <at_most_once_guards Guards>
-shard_bits basic_key_home<Guards>::wantedShards(bool inheritedOnly)
+shard_bits basic_key_home<Guards>::shardsToRequest(bool inheritedOnly)
 {
     const auto now = m_clock.now();
     shard_bits wanted = 0;
@@ -160,16 +162,16 @@
         if (state.inherited && !inheritable(state))
             state.inherited.reset();
         const bool inherits = state.inherited && eligible();
-        if (inherits || (!inheritedOnly && wants(shard, now)))
+        if (inherits || (!inheritedOnly && shouldRequest(shard, now)))
             wanted |= shardBit(shard);
     }
     return wanted;
 }
 
-// A holder goes on; others wait their turn in the order of the rendezvous hash, so that they don't
-// split the votes.
+// The holder renews its lease. Other candidates start one renewal interval apart, in the order of
+// the rendezvous hash, so that they do not split the votes.
 template <at_most_once_guards Guards>
-bool basic_key_home<Guards>::wants(std::size_t shard, steady_time now)
+bool basic_key_home<Guards>::shouldRequest(std::size_t shard, steady_time now)
 {
     shard_state &state = m_shards[shard];
     if (now < state.leaseUntil)
@@ -182,7 +184,7 @@
     }
     if (!state.freeSince)
         state.freeSince = now;
-    if (now < state.quietUntil)
+    if (now < state.backoffUntil)
         return false;
     return now >= *state.freeSince + m_settings.renewal * static_cast<int>(rank(shard));
 }
@@ -195,24 +197,24 @@
     return static_cast<std::size_t>(found - order.begin());
 }
 
-// A candidate that got too few votes gives them back, so that they don't stand in another's way.
+// A candidate without a majority releases its votes, so that they do not block other candidates.
 template <at_most_once_guards Guards>
-void basic_key_home<Guards>::failCandidacies(std::vector<key_home_outgoing> &out)
+void basic_key_home<Guards>::withdrawFailedCandidacies(std::vector<key_home_outgoing> &out)
 {
     const auto now = m_clock.now();
     shard_bits failed = 0;
     for (std::size_t shard = 0; shard < ShardCount; ++shard) {
         shard_state &state = m_shards[shard];
-        if (!state.asked || now < state.leaseUntil || state.inherited)
+        if (!state.requested || now < state.leaseUntil || state.inherited)
             continue;
-        state.asked = false;
-        ++state.failures;
+        state.requested = false;
+        ++state.failedCandidacies;
         const auto draw = rendezvousWeight(key_home_detail::shardName(shard) + "/"
-                                               + std::to_string(state.failures),
+                                               + std::to_string(state.failedCandidacies),
                                            m_settings.vm.value);
         const auto rounds = static_cast<int>(draw % key_home_detail::MaxBackoffRounds);
-        state.quietUntil = now + m_settings.renewal * rounds;
-        state.firstRound = m_round + 1;
+        state.backoffUntil = now + m_settings.renewal * rounds;
+        state.firstCountedRound = m_round + 1;
         for (auto &[voter, votes] : m_votes)
             votes[shard] = {};
         failed |= shardBit(shard);
@@ -239,10 +241,10 @@
     if (shards == 0)
         return;
     ++m_round;
-    m_sentAt[m_round % RememberedRounds] = m_clock.now();
+    m_sentAt[m_round % TrackedRounds] = m_clock.now();
     for (std::size_t shard = 0; shard < ShardCount; ++shard) {
         if ((shards & shardBit(shard)) != 0)
-            m_shards[shard].asked = true;
+            m_shards[shard].requested = true;
     }
     const auto voters = m_lists.voters();
     for (const auto &voter : voters) {
@@ -271,30 +273,30 @@
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::onVote(const vm_id &from, const lease_vote &message)
 {
-    const bool remembered = message.round <= m_round && message.round + RememberedRounds > m_round;
-    if (message.holder != m_settings.incarnation || !remembered || !m_lists.contains(from))
+    const bool tracked = message.round <= m_round && message.round + TrackedRounds > m_round;
+    if (message.holder != m_settings.incarnation || !tracked || !m_lists.contains(from))
         return;
     const auto freeSince = m_clock.now() - milliseconds{message.freeMilliseconds};
     recordVotes(from, message.round, message.granted, freeSince);
 }
 
-// The voter counts its promise from the receipt, this node from the sending: the promise outlasts
-// the lease whatever the delay.
+// The voter's promise starts when the request arrives, the lease when it was sent. The promise
+// therefore outlasts the lease, whatever the delay.
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::recordVotes(const vm_id &voter, std::uint64_t round,
                                          shard_bits granted, steady_time freeSince)
 {
-    const auto sentAt = m_sentAt[round % RememberedRounds];
+    const auto sentAt = m_sentAt[round % TrackedRounds];
     const auto from = Guards::LeaseCountsFromRequest ? sentAt : m_clock.now();
     const auto until = from + key_home_detail::holderLease(m_settings.lease);
     voter_votes &votes = m_votes[voter];
     for (std::size_t shard = 0; shard < ShardCount; ++shard) {
-        if ((granted & shardBit(shard)) == 0 || round < m_shards[shard].firstRound)
+        if ((granted & shardBit(shard)) == 0 || round < m_shards[shard].firstCountedRound)
             continue;
         counted_vote &vote = votes[shard];
         if (until > vote.until)
             vote = {until, freeSince};
-        refresh(shard);
+        updateLease(shard);
     }
 }
 
@@ -304,8 +306,8 @@
     m_voter.release(from, message);
 }
 
-// Reads the time of day first: were the process paused between the two readings, a key issued
-// meanwhile would otherwise pass for one issued before the lease was checked.
+// Reads the wall clock first. In the other order, a pause between the two reads would let a key
+// pass that was issued during the pause, when the lease may already have ended.
 template <at_most_once_guards Guards>
 home_standing basic_key_home<Guards>::standing(std::size_t shard, wall_time issued) const
 {
@@ -381,8 +383,8 @@
         wall + std::chrono::duration_cast<wall_time::duration>(state.leaseUntil - now)};
 }
 
-// Without a successor the votes run out by themselves: were they given back, a node that still
-// waits to take over an earlier home's coverage could overlook what this one accepted.
+// Without a successor, the votes are left to expire. If they were released, a node that is still
+// waiting to inherit an earlier home's coverage could miss keys that this node accepted.
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::giveUp(std::size_t shard,
                                     const std::optional<successor_holder> &successor,
@@ -390,7 +392,7 @@
 {
     shard_state &state = m_shards[shard];
     state.leaseUntil = steady_time::min();
-    state.firstRound = m_round + 1;
+    state.firstCountedRound = m_round + 1;
     for (auto &[voter, votes] : m_votes)
         votes[shard] = {};
     if (!successor)
--- a/src/core/once/key_home_messages.cpp
+++ b/src/core/once/key_home_messages.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// A message is an array: its type, then its fields in order.
+// A message is encoded as an array of its type and its fields in order.
 enum class message_type : std::uint8_t { Request = 1, Vote, Release, Handover, HandoverReply };
 
-constexpr std::size_t MaxText = 512;
+constexpr std::size_t MaxTextBytes = 512;
 constexpr std::int64_t MaxUnixMilliseconds = 1'000'000'000'000'000;
 constexpr std::uint64_t ShardSeed = 0x6b65795f686f6d65ULL;
 
-// Fields behind the type and the holder's incarnation.
+// Each message begins with its type and the holder's incarnation.
 using request_wire = std::tuple<std::uint8_t, incarnation, std::uint64_t, shard_bits>;
 using vote_wire = std::tuple<std::uint8_t, incarnation, std::uint64_t, shard_bits, std::uint32_t>;
 using release_wire = std::tuple<std::uint8_t, incarnation, std::uint64_t, shard_bits, std::string,
@@ -106,7 +106,7 @@
 {
     const auto &[type, holder, round, shards, successor, successorIncarnation, successorRound] =
         wire;
-    if (successor.size() > MaxText)
+    if (successor.size() > MaxTextBytes)
         return std::nullopt;
     return lease_release{holder,        round, shards, vm_id{successor}, successorIncarnation,
                          successorRound};
@@ -115,14 +115,14 @@
 std::optional<key_home_message> fromHandover(const handover_wire &wire)
 {
     const auto &[type, holder, shard, part, parts, coveredSince, leaseEnd, records] = wire;
-    const bool numbered = shard < ShardCount && part < parts && parts <= MaxHandoverParts;
-    if (!numbered || !isTime(coveredSince) || !isTime(leaseEnd)
+    const bool validPart = shard < ShardCount && part < parts && parts <= MaxHandoverParts;
+    if (!validPart || !isTime(coveredSince) || !isTime(leaseEnd)
         || records.size() > MaxRecordsInPart)
         return std::nullopt;
     shard_handover message{holder, shard, part, parts, coveredSince, leaseEnd, {}};
     message.records.reserve(records.size());
     for (const auto &[id, digest, keep, finished, answer] : records) {
-        if (id.size() > MaxText || !isTime(keep))
+        if (id.size() > MaxTextBytes || !isTime(keep))
             return std::nullopt;
         message.records.push_back({id, digest, keep, finished, answer});
     }
@@ -176,7 +176,7 @@
         return key_home_codec_error::TooLong;
     constexpr std::size_t MaxDepth = 4;
     const msgpack::unpack_limit limit{MaxRecordsInPart, 0, MaxKeyHomeMessage, 0, 0, MaxDepth};
-    // The library reports malformed bytes by exceptions alone; they end here.
+    // msgpack reports malformed bytes only by exceptions.
     try {
         std::size_t used = 0;
         const auto handle =
--- a/src/core/once/ticket.cpp
+++ b/src/core/once/ticket.cpp
@@ -26,7 +26,8 @@
     return !text.empty();
 }
 
-// Refuses what std::from_chars accepts but toText() never writes: one value has one text.
+// Rejects texts that std::from_chars accepts but toText() does not write, so that each value has
+// only one text.
 bool parseNumber(std::string_view text, int base, std::uint64_t &out)
 {
     if (text.empty() || (text.size() > 1 && text.front() == '0'))
@@ -39,7 +40,7 @@
     return error == std::errc{} && end == text.data() + text.size();
 }
 
-// Cuts the part after the last dot off `text`.
+// Removes the part after the last dot from `text` and returns it.
 std::string_view takeLastPart(std::string_view &text)
 {
     const auto dot = text.rfind('.');
@@ -66,7 +67,7 @@
     return text;
 }
 
-// Reads from the right, since the name of a VM may hold dots.
+// Parses from the right, since the name of a VM may contain dots.
 result<ticket, ticket_error> parseTicket(std::string_view text)
 {
     if (text.size() > MaxTicketLength)
