--- a/tests/core/at_most_once_guards_test.cpp
+++ b/tests/core/at_most_once_guards_test.cpp
@@ -1,5 +1,5 @@
 #include "core/once/at_most_once_definitions.h"
-#include "tests/core/at_most_once_world.h"
+#include "tests/core/at_most_once_simulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Each policy leaves one guard out.
+// Defines a policy without one of the guards.
 #define WITHOUT(Guard) \
     struct without_##Guard : every_guard \
     { \
@@ -39,32 +39,33 @@
 
 constexpr std::uint64_t MaxSeeds = 400;
 
-// What kind of schedule brings the missing guard out soonest.
+// Parameters of schedules that break an invariant with few seeds when the guard is missing.
 struct schedule
 {
     std::vector<fault_kind> kinds{}; ///< empty: all
     std::uint32_t faults = 14;
     std::uint32_t vms = 0; ///< 0: drawn
     std::uint32_t callsPerSecond = 8;
-    double slowRate = 0.03;
-    std::uint64_t firstSeed = 1; ///< shortly before the first that breaks: sanitizers are slow
+    double delayRate = 0.03;
+    /// Shortly before the first seed that breaks an invariant: runs under sanitizers are slow.
+    std::uint64_t firstSeed = 1;
 };
 
-world_settings drawWorld(const schedule &wanted, std::uint64_t seed)
+simulation_settings drawSimulation(const schedule &wanted, std::uint64_t seed)
 {
-    constexpr std::uint32_t Begin = 17; // leases begin then
+    constexpr std::uint32_t Begin = 17; // second in which the first leases begin
     std::mt19937_64 random{seed};
     const auto below = [&random](std::uint64_t n) {
         return static_cast<std::uint32_t>(random() % n);
     };
-    world_settings settings;
+    simulation_settings settings;
     settings.seed = seed;
     settings.vms = wanted.vms != 0 ? wanted.vms : 2 + below(4);
     settings.callsPerSecond = wanted.callsPerSecond;
-    settings.slowRate = wanted.slowRate;
+    settings.delayRate = wanted.delayRate;
     for (std::uint32_t i = 0; i < wanted.faults; ++i) {
         fault drawn;
-        drawn.kind = wanted.kinds.empty() ? static_cast<fault_kind>(below(FaultKinds))
+        drawn.kind = wanted.kinds.empty() ? static_cast<fault_kind>(below(FaultKindCount))
                                           : wanted.kinds[below(wanted.kinds.size())];
         drawn.second = Begin + below(settings.seconds - Begin);
         drawn.target = below(16);
@@ -74,22 +75,23 @@
     return settings;
 }
 
-// Finds a schedule that breaks an invariant without the guard, and runs the same one with it.
+// Finds a schedule that breaks an invariant without the guard, and checks that the same schedule
+// breaks none with it.
 template <at_most_once_guards Guards>
 void checkGuard(const schedule &wanted)
 {
     for (std::uint64_t seed = wanted.firstSeed; seed <= MaxSeeds; ++seed) {
-        const auto settings = drawWorld(wanted, seed);
-        const auto without = runWorld(settings, gatesWith<Guards>());
+        const auto settings = drawSimulation(wanted, seed);
+        const auto without = runSimulation(settings, makeGateFactory<Guards>());
         if (without.violation.empty())
             continue;
-        const auto with = runWorld(settings, gatesWith<every_guard>());
+        const auto with = runSimulation(settings, makeGateFactory<every_guard>());
         std::cout << "without it, seed " << seed << ": " << without.violation << '\n';
         CAPTURE(seed, with.violation);
         CHECK(with.violation.empty());
         return;
     }
-    FAIL("no schedule of " << MaxSeeds << " broke an invariant: the guard carries no weight");
+    FAIL("no schedule of " << MaxSeeds << " broke an invariant: the guard has no effect");
 }
 
 } // namespace
@@ -99,12 +101,12 @@
     checkGuard<without_LeaseIsChecked>({});
 }
 
-TEST_CASE("without the rule that a key is younger than the lease a call runs twice")
+TEST_CASE("without the check that a key was issued after the lease began a call runs twice")
 {
     checkGuard<without_IssuedAfterLeaseBegan>({});
 }
 
-TEST_CASE("without the end of the last promise a lease covers too much and a call runs twice")
+TEST_CASE("without the limit of coverage to the end of the last promise a call runs twice")
 {
     checkGuard<without_CoverageAfterPromises>({});
 }
@@ -124,13 +126,13 @@
     checkGuard<without_MajorityOfVoters>({});
 }
 
-TEST_CASE("without the fresh voter's wait a call runs twice")
+TEST_CASE("without the wait of a restarted voter a call runs twice")
 {
     checkGuard<without_FreshVoterWaits>(
-        {{fault_kind::Cut, fault_kind::Restart}, 60, 5, 40, 0.03, 26});
+        {{fault_kind::Partition, fault_kind::Restart}, 60, 5, 40, 0.03, 26});
 }
 
-TEST_CASE("without counting the lease from the request a call runs twice")
+TEST_CASE("without starting the lease at the request a call runs twice")
 {
     checkGuard<without_LeaseCountsFromRequest>({{fault_kind::Pause}, 60, 3, 40, 0.4, 19});
 }
@@ -145,18 +147,19 @@
     checkGuard<without_ListMustBeFresh>({});
 }
 
-TEST_CASE("without the check of a late release a call runs twice")
+TEST_CASE("without ignoring late releases a call runs twice")
 {
     checkGuard<without_LateReleaseIsIgnored>(
-        {{fault_kind::Cut, fault_kind::Restart, fault_kind::Pause}, 40, 4, 20, 0.3});
+        {{fault_kind::Partition, fault_kind::Restart, fault_kind::Pause}, 40, 4, 20, 0.3});
 }
 
 TEST_CASE("without the overlap of leases at a handover a call runs twice")
 {
-    checkGuard<without_HandoverWithinLease>({{fault_kind::Leave, fault_kind::Cut}, 40, 4, 20, 0.3});
+    checkGuard<without_HandoverWithinLease>(
+        {{fault_kind::Leave, fault_kind::Partition}, 40, 4, 20, 0.3});
 }
 
-TEST_CASE("without the unknown outcome not_run is said of a call that runs")
+TEST_CASE("without the unknown outcome not_run is reported for a call that runs")
 {
     checkGuard<without_UncertainMeansUnknown>({});
 }
--- a/tests/core/at_most_once_random_test.cpp
+++ b/tests/core/at_most_once_random_test.cpp
@@ -1,5 +1,5 @@
 #include "core/once/at_most_once_definitions.h"
-#include "tests/core/at_most_once_world.h"
+#include "tests/core/at_most_once_simulation.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -23,7 +23,7 @@
 {
     return rc::gen::build<fault>(
         rc::gen::set(&fault::kind,
-                     rc::gen::map(rc::gen::inRange(0, FaultKinds),
+                     rc::gen::map(rc::gen::inRange(0, FaultKindCount),
                                   [](int k) { return static_cast<fault_kind>(k); })),
         rc::gen::set(&fault::second, rc::gen::inRange<std::uint32_t>(5, Seconds)),
         rc::gen::set(&fault::target, rc::gen::inRange<std::uint32_t>(0, 16)),
@@ -54,28 +54,28 @@
 
 TEST_CASE("no schedule of faults makes a call run twice or run after not_run")
 {
-    world_result total;
+    simulation_result total;
     rc::prop("at most once", [&total] {
-        world_settings settings;
+        simulation_settings settings;
         settings.seconds = Seconds;
         settings.seed = *rc::gen::noShrink(rc::gen::arbitrary<std::uint64_t>());
         settings.vms = *rc::gen::inRange<std::uint32_t>(1, 6);
         settings.faults = *rc::gen::arbitrary<std::vector<fault>>();
-        const auto result = runWorld(settings, gatesWith<every_guard>());
+        const auto result = runSimulation(settings, makeGateFactory<every_guard>());
         total.events += result.events;
         total.calls += result.calls;
         total.runs += result.runs;
         total.notRun += result.notRun;
         total.unknown += result.unknown;
-        total.answersAgain += result.answersAgain;
+        total.repeatedAnswers += result.repeatedAnswers;
         RC_LOG() << result.violation << '\n';
         RC_ASSERT(result.violation.empty());
     });
     std::cout << "events " << total.events << ", calls " << total.calls << ", runs " << total.runs
               << ", not_run " << total.notRun << ", unknown " << total.unknown
-              << ", answers given again " << total.answersAgain << '\n';
+              << ", answers given again " << total.repeatedAnswers << '\n';
     CHECK(total.events >= ExpectedEvents);
-    // Refusing everything would be safe and useless.
+    // A gate that refused every call would pass the checks above but would be useless.
     CHECK(total.runs * 4 >= total.calls);
-    CHECK(total.answersAgain > 0);
+    CHECK(total.repeatedAnswers > 0);
 }
--- a/tests/core/at_most_once_test.cpp
+++ b/tests/core/at_most_once_test.cpp
@@ -34,7 +34,7 @@
     return members;
 }
 
-// One VM alone is its own majority.
+// A VM that is listed alone forms a majority by itself.
 struct single_node
 {
     explicit single_node(at_most_once_settings settings = settingsOf("vm-0"))
@@ -51,14 +51,14 @@
         gate.tick(sent);
     }
 
-    once_request request(const std::string &random, milliseconds age = 0ms) const
+    once_request request(const std::string &randomText, milliseconds age = 0ms) const
     {
         const auto issued = (clock.wallNow() - age).time_since_epoch();
         once_request made;
         made.customer = customer_id{"saare"};
         made.homeDataCenter = data_center_id{"dc"};
         made.key =
-            std::to_string(std::chrono::duration_cast<milliseconds>(issued).count()) + random;
+            std::to_string(std::chrono::duration_cast<milliseconds>(issued).count()) + randomText;
         made.deadline = clock.now() + 4s;
         return made;
     }
@@ -87,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE("a resend attaches to the call in flight, and later gets its answer")
+TEST_CASE("a resend attaches to the call in flight and later gets its stored answer")
 {
     single_node node;
     const auto request = node.request("-a1b2c3d4");
@@ -111,7 +111,7 @@
     CHECK(refused.reason == refusal_reason::InvalidRequest);
 }
 
-TEST_CASE("two customers may draw the same key")
+TEST_CASE("two customers may use the same key")
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
@@ -120,7 +120,7 @@
     CHECK_FALSE(expect<run_here>(node.gate.onRequest(request)).record == first);
 }
 
-TEST_CASE("an answer that was evicted is neither given nor run again")
+TEST_CASE("a call whose answer was evicted is refused and not run again")
 {
     auto settings = settingsOf("vm-0");
     settings.maxAnswerBytes = 10;
@@ -133,7 +133,7 @@
     CHECK(refused.reason == refusal_reason::KeyInUse);
 }
 
-TEST_CASE("a key outside its window is never run, and its record is dropped")
+TEST_CASE("a key past its window is refused and its record is dropped")
 {
     single_node node;
     const auto request = node.request("-a1b2c3d4");
@@ -155,7 +155,7 @@
     CHECK_FALSE(node.gate.mayDispatch(record));
 }
 
-TEST_CASE("a full gate refuses without promising that the call won't run")
+TEST_CASE("a gate without room for records refuses with the outcome unknown")
 {
     auto settings = settingsOf("vm-0");
     settings.maxRecords = 1;
@@ -166,7 +166,7 @@
     CHECK(refused.reason == refusal_reason::Overloaded);
 }
 
-TEST_CASE("a ticket is forwarded to the VM that minted it, once")
+TEST_CASE("a ticket is forwarded to the VM that minted it but not forwarded twice")
 {
     single_node node;
     once_request request;
@@ -176,7 +176,7 @@
     CHECK(expect<refuse_call>(node.gate.onRequest(request)).outcome == outcome::Unknown);
 }
 
-TEST_CASE("a node that has just started accepts tickets and no bare key")
+TEST_CASE("a node that has just started accepts tickets but no idempotency keys")
 {
     manual_clock clock;
     at_most_once gate{settingsOf("vm-0"), clock};
@@ -195,7 +195,7 @@
     CHECK(refused.reason == refusal_reason::HomeUncertain);
 }
 
-TEST_CASE("a node that doesn't know the key's home data centre promises nothing")
+TEST_CASE("a key whose home data centre is unknown gets the outcome unknown")
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
@@ -203,7 +203,7 @@
     CHECK(expect<refuse_call>(node.gate.onRequest(request)).outcome == outcome::Unknown);
 }
 
-TEST_CASE("a VM that the platform doesn't list has no vote and no lease")
+TEST_CASE("a VM that the platform does not list holds no lease")
 {
     manual_clock clock;
     at_most_once gate{settingsOf("vm-0"), clock};
@@ -218,7 +218,7 @@
     CHECK(gate.heldShards() == 0);
 }
 
-TEST_CASE("malformed bytes of a peer are counted and dropped at every length")
+TEST_CASE("a peer message truncated at any length is dropped and counted as malformed")
 {
     single_node node;
     shard_handover handover;
@@ -231,12 +231,13 @@
     CHECK_FALSE(decodeKeyHomeMessage(bytes + "x").has_value());
 }
 
-// Leases of all shards go in one message to each peer. 28 bytes are the headers of IP and UDP.
-TEST_CASE("leases in a data centre of 50 VMs cost a node less than 1.5 KB a second")
+// A node requests the leases of all shards with one message per peer. The IP and UDP headers add 28
+// bytes to each message.
+TEST_CASE("lease messages in a data centre of 50 VMs take less than 1.5 KB per second and node")
 {
     constexpr std::size_t Vms = 50;
     constexpr int Seconds = 240;
-    constexpr int FromSecond = 200; // settled by then
+    constexpr int FromSecond = 200; // leases are stable by then
     constexpr std::size_t HeaderBytes = 28;
     manual_clock clock;
     std::vector<std::unique_ptr<at_most_once>> gates;
--- a/tests/core/ticket_test.cpp
+++ b/tests/core/ticket_test.cpp
@@ -7,14 +7,14 @@
 using namespace orchidlead;
 using namespace std::chrono_literals;
 
-TEST_CASE("a ticket's text leads back to it, also where the VM's name holds dots")
+TEST_CASE("a ticket's text is parsed to the same ticket even if the VM's name contains dots")
 {
     const ticket minted{vm_id{"vm-1.rack.2"}, 0xfeedULL, 42};
     CHECK(toText(minted) == "t.vm-1.rack.2.feed.42");
     CHECK(parseTicket(toText(minted)).value() == minted);
 }
 
-TEST_CASE("a text that is no ticket is refused with the part that is wrong")
+TEST_CASE("a malformed ticket is rejected with the name of the invalid part")
 {
     CHECK(parseTicket("x.vm.1.1").error() == ticket_error::BadPrefix);
     CHECK(parseTicket("t.vm.1.").error() == ticket_error::BadSequence);
@@ -27,7 +27,7 @@
     CHECK(parseTicket("t." + std::string(MaxTicketLength, 'a')).error() == ticket_error::TooLong);
 }
 
-TEST_CASE("a ticket is valid for its own process alone and never again after its window")
+TEST_CASE("a ticket is valid only in the process that minted it and only within its window")
 {
     manual_clock clock;
     ticket_ledger ledger{vm_id{"a"}, 7, 1000ms, 10, clock};
@@ -53,13 +53,13 @@
     CHECK(ledger.mint().value().sequence == 3);
 }
 
-TEST_CASE("a key says when it was issued")
+TEST_CASE("a key contains its time of issue")
 {
     const auto key = parseIdempotencyKey("1790000000123-a1b2c3d4").value();
     CHECK(key.issued == wall_time{1790000000123ms});
 }
 
-TEST_CASE("a key without a time, or with too little after it, is refused")
+TEST_CASE("a key without a valid time or random text is rejected")
 {
     CHECK(parseIdempotencyKey("a1b2c3d4").error() == idempotency_key_error::NoTime);
     CHECK(parseIdempotencyKey("-a1b2c3d4").error() == idempotency_key_error::NoTime);
