--- a/examples/claims.h
+++ b/examples/claims.h
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <string_view>
 
-/// Prints what an example shows and remembers whether all of it really happened.
+/// Prints the checked claims of an example and records whether all of them hold.
 class claims
 {
 public:
@@ -14,7 +14,7 @@
         m_allHold = m_allHold && holds;
     }
 
-    /// What `main` returns.
+    /// Exit status for `main`.
     [[nodiscard]] int exitCode() const { return m_allHold ? EXIT_SUCCESS : EXIT_FAILURE; }
 
 private:
--- a/examples/ticket_example.cpp
+++ b/examples/ticket_example.cpp
@@ -1,5 +1,5 @@
-// Shows how a server runs a call at most once, without a store: it mints a ticket, the caller sends
-// the ticket along, and only the very process that minted it may run the call.
+// Shows how a server runs a call at most once without a shared store. The server mints a ticket,
+// the caller sends it with the call, and only the process that minted the ticket may run the call.
 
 #include "claims.h"
 
@@ -30,7 +30,7 @@
     std::optional<std::string> answer;
 };
 
-/// A server whose only work, charging an account, must not be done twice.
+/// A server that charges an account. A charge must not be made twice.
 class payment_server
 {
 public:
@@ -38,7 +38,8 @@
         : m_ledger(vm, self, Window, MaxTickets, clock)
     { }
 
-    /// Gives the text that the caller keeps and sends with its call and with each resend.
+    /// Returns the ticket that the caller sends with its call and with each resend; empty if too
+    /// many tickets are valid.
     [[nodiscard]] std::string mintTicket()
     {
         const std::optional<ticket> minted = m_ledger.mint();
@@ -47,27 +48,29 @@
 
     [[nodiscard]] std::string charge(std::string_view ticketText)
     {
-        forgetExpired();
+        dropExpired();
         const auto parsed = parseTicket(ticketText);
         if (!parsed)
             return "refused: " + std::string(toName(parsed.error()));
         const ticket_standing standing = m_ledger.standing(parsed.value());
         if (standing != ticket_standing::Valid)
             return "refused: " + std::string(toName(standing));
-        // The record comes before the work: where the work breaks off, a resend doesn't repeat it.
+        // The record is added before the charge, so that a resend does not repeat a charge that was
+        // interrupted.
         const auto [record, isNew] = m_records.try_emplace(
             parsed.value().sequence, call_record{parsed.value(), std::nullopt});
         if (isNew)
             record->second.answer = "receipt " + std::to_string(++m_charges);
-        return record->second.answer.value_or("unknown: it was begun, and its end isn't known");
+        return record->second.answer.value_or(
+            "unknown: the call began, and its outcome is not known");
     }
 
     [[nodiscard]] int charges() const { return m_charges; }
 
 private:
-    // The ledger never takes an expired ticket for a valid one, so that its record may go; the
-    // records are as bounded as the ledger.
-    void forgetExpired()
+    // The record of an expired ticket may be dropped, since the ledger never reports that ticket as
+    // valid again. The number of records is therefore bounded by the capacity of the ledger.
+    void dropExpired()
     {
         m_ledger.tick();
         std::erase_if(m_records, [this](const auto &entry) {
@@ -85,8 +88,9 @@
 int main()
 {
     claims shown;
-    manual_clock clock; // a real server passes system_clock_source
-    // The incarnation is drawn anew at each start; fixed here so that the output stays the same.
+    manual_clock clock; // a real server uses system_clock_source
+    // A real server draws a new incarnation at each start. Here it is fixed, for reproducible
+    // output.
     payment_server server{vm_id{"vm-1"}, 0xa11ce, clock};
 
     const std::string ticketText = server.mintTicket();
@@ -97,8 +101,8 @@
     shown.check(server.charge(ticketText) == answer, "a resend gets the stored answer");
     shown.check(server.charges() == 1, "the account was charged once");
 
-    // The VM's process starts again and has forgotten everything. It can't know whether the call
-    // ran, and doesn't run it.
+    // The restarted process has lost all records. It cannot determine whether the call ran, and
+    // therefore refuses it.
     payment_server restarted{vm_id{"vm-1"}, 0xb0b, clock};
     shown.check(restarted.charge(ticketText) == "refused: other_incarnation",
                 "another incarnation of the VM refuses the ticket");
@@ -107,7 +111,7 @@
                 "another VM refuses it (and would forward it to vm-1)");
     shown.check(restarted.charges() + neighbour.charges() == 0, "neither of them charged");
 
-    // Once the window is over the record goes, and the ticket still doesn't run again.
+    // After the window, the record is dropped, and the ticket is still refused.
     clock.advance(Window);
     shown.check(server.charge(ticketText) == "refused: expired", "an old ticket is refused");
     shown.check(server.charges() == 1, "the account was still charged once");
