--- a/tests/core/at_most_once_world.cpp
+++ b/tests/core/at_most_once_simulation.cpp
@@ -1,4 +1,4 @@
-#include "tests/core/at_most_once_world.h"
+#include "tests/core/at_most_once_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,10 +14,10 @@
 constexpr milliseconds MaxListLag{1'000};
 constexpr milliseconds ListMemory{15'000};
 constexpr milliseconds Window{20'000};
-constexpr milliseconds TickEvery{200};
-constexpr milliseconds ListEvery{1'000};
+constexpr milliseconds TickInterval{200};
+constexpr milliseconds ListInterval{1'000};
 constexpr milliseconds Deadline{4'000};
-const data_center_id Here{"dc"};
+const data_center_id OwnDataCenter{"dc"};
 
 class node_clock final : public clock_source
 {
@@ -51,28 +51,29 @@
     bool pauseBeforeSend = false;
     bool leaving = false;
     milliseconds pausedUntil{0};
-    milliseconds offPlatformUntil{0};
+    milliseconds platformUnreachableUntil{0};
     milliseconds listLag{0};
-    int side = 0; ///< peers on other sides can't be reached
-    bool isolated = false; ///< replaced, and cut off for good
+    /// Only peers in the same network partition can be reached.
+    int partitionId = 0;
+    bool isolated = false; ///< replaced, and unreachable for all peers
 };
 
 struct call
 {
-    std::string name; ///< ticket or key, as text
+    std::string name; ///< text of the ticket or key
     bool isTicket = false;
     int runs = 0;
-    bool saidNotRun = false;
+    bool reportedNotRun = false;
 };
 
 struct queued_event
 {
     milliseconds at;
     std::uint64_t order;
-    std::function<void()> act;
+    std::function<void()> action;
 };
 
-struct later
+struct runs_later
 {
     bool operator()(const queued_event &a, const queued_event &b) const
     {
@@ -80,16 +81,16 @@
     }
 };
 
-class world
+class simulation
 {
 public:
-    world(const world_settings &settings, const gate_factory &makeGate)
+    simulation(const simulation_settings &settings, const gate_factory &makeGate)
         : m_settings(settings)
         , m_makeGate(makeGate)
         , m_random(settings.seed)
     { }
 
-    world_result run();
+    simulation_result run();
 
 private:
     using process_ptr = std::shared_ptr<process>;
@@ -101,9 +102,9 @@
     }
     milliseconds drawTime(milliseconds below) { return milliseconds{draw(int(below.count()) + 1)}; }
 
-    void at(milliseconds when, std::function<void()> act);
-    void atProcess(milliseconds when, const process_ptr &on, std::function<void()> act);
-    void violate(const std::string &what, const call &of);
+    void at(milliseconds when, std::function<void()> action);
+    void atProcess(milliseconds when, const process_ptr &on, std::function<void()> action);
+    void reportViolation(const std::string &what, const call &of);
 
     process_ptr start(const vm_id &vm);
     process_ptr running(const vm_id &vm);
@@ -122,54 +123,54 @@
     void check(const process_ptr &on, std::size_t index, record_handle record);
     void send(const process_ptr &on, std::size_t index, record_handle record);
     void finish(const process_ptr &on, std::size_t index, record_handle record, outcome ended);
-    void tell(std::size_t index, outcome ended);
+    void recordOutcome(std::size_t index, outcome ended);
 
     void apply(const fault &what);
-    void replace(const process_ptr &old, bool goesOn);
-    void replaceMost(milliseconds length);
-    void cut(milliseconds length);
+    void replace(const process_ptr &old, bool keepsRunning);
+    void replaceMajority(milliseconds length);
+    void partition(milliseconds length);
     void leave(const process_ptr &on);
 
-    world_settings m_settings;
+    simulation_settings m_settings;
     const gate_factory &m_makeGate;
     std::mt19937_64 m_random;
     milliseconds m_now{100'000};
     std::uint64_t m_order = 0;
-    std::priority_queue<queued_event, std::vector<queued_event>, later> m_queue;
-    std::vector<process_ptr> m_processes; // also dead ones, for their messages
+    std::priority_queue<queued_event, std::vector<queued_event>, runs_later> m_queue;
+    std::vector<process_ptr> m_processes; // includes ended ones, whose messages may still arrive
     std::vector<vm_id> m_listed;
     std::vector<std::pair<milliseconds, std::vector<vm_id>>> m_lists; // published, oldest first
     std::vector<call> m_calls;
     std::uint64_t m_nextVm = 1;
     incarnation m_nextIncarnation = 1;
-    world_result m_result;
+    simulation_result m_result;
 };
 
-void world::at(milliseconds when, std::function<void()> act)
+void simulation::at(milliseconds when, std::function<void()> action)
 {
-    m_queue.push({when, m_order++, std::move(act)});
+    m_queue.push({when, m_order++, std::move(action)});
 }
 
-// What a process is to do while it is paused happens when it wakes up.
-void world::atProcess(milliseconds when, const process_ptr &on, std::function<void()> act)
+// An action of a paused process is deferred until the process resumes.
+void simulation::atProcess(milliseconds when, const process_ptr &on, std::function<void()> action)
 {
-    at(when, [this, on, act = std::move(act)] {
+    at(when, [this, on, action = std::move(action)] {
         if (!on->alive)
             return;
         if (on->pausedUntil > m_now)
-            atProcess(on->pausedUntil, on, act);
+            atProcess(on->pausedUntil, on, action);
         else
-            act();
+            action();
     });
 }
 
-void world::violate(const std::string &what, const call &of)
+void simulation::reportViolation(const std::string &what, const call &of)
 {
     if (m_result.violation.empty())
         m_result.violation = what + ": " + of.name + " at " + std::to_string(m_now.count()) + " ms";
 }
 
-world::process_ptr world::start(const vm_id &vm)
+simulation::process_ptr simulation::start(const vm_id &vm)
 {
     auto started = std::make_shared<process>();
     started->vm = vm;
@@ -180,7 +181,7 @@
     at_most_once_settings settings;
     settings.vm = vm;
     settings.incarnation = started->number;
-    settings.dataCenter = Here;
+    settings.dataCenter = OwnDataCenter;
     settings.window = Window;
     settings.clockSkew = ClockSkew;
     settings.lease = Lease;
@@ -197,7 +198,7 @@
     return started;
 }
 
-world::process_ptr world::running(const vm_id &vm)
+simulation::process_ptr simulation::running(const vm_id &vm)
 {
     for (auto each = m_processes.rbegin(); each != m_processes.rend(); ++each) {
         if ((*each)->vm == vm && (*each)->alive)
@@ -206,26 +207,26 @@
     return nullptr;
 }
 
-world::process_ptr world::listedProcess(std::uint32_t target)
+simulation::process_ptr simulation::listedProcess(std::uint32_t target)
 {
     return running(m_listed[target % m_listed.size()]);
 }
 
-void world::publishList()
+void simulation::publishList()
 {
     m_lists.emplace_back(m_now, m_listed);
 }
 
-bool world::connected(const process &a, const process &b) const
+bool simulation::connected(const process &a, const process &b) const
 {
-    return a.side == b.side && !a.isolated && !b.isolated;
+    return a.partitionId == b.partitionId && !a.isolated && !b.isolated;
 }
 
-member world::memberSeen(const process_ptr &by, const vm_id &vm)
+member simulation::memberSeen(const process_ptr &by, const vm_id &vm)
 {
     member seen;
     seen.vm.vm = vm;
-    seen.vm.dataCenter = Here;
+    seen.vm.dataCenter = OwnDataCenter;
     seen.listed = true;
     const auto other = running(vm);
     const bool reached = other && connected(*by, *other) && other->pausedUntil <= m_now;
@@ -233,9 +234,9 @@
     return seen;
 }
 
-void world::refreshList(const process_ptr &on)
+void simulation::refreshList(const process_ptr &on)
 {
-    if (!on->isolated && on->offPlatformUntil <= m_now) {
+    if (!on->isolated && on->platformUnreachableUntil <= m_now) {
         const auto *list = &m_lists.front().second;
         for (const auto &[since, vms] : m_lists) {
             if (since + on->listLag <= m_now)
@@ -246,24 +247,26 @@
             members.push_back(memberSeen(on, vm));
         on->gate->setMembers(members, on->clock->now());
     }
-    atProcess(m_now + ListEvery, on, [this, on] { refreshList(on); });
+    atProcess(m_now + ListInterval, on, [this, on] { refreshList(on); });
 }
 
-void world::tick(const process_ptr &on)
+void simulation::tick(const process_ptr &on)
 {
     std::vector<peer_message> out;
     on->gate->tick(out);
     sendPeer(on, out);
-    atProcess(m_now + TickEvery, on, [this, on] { tick(on); });
+    atProcess(m_now + TickInterval, on, [this, on] { tick(on); });
 }
 
-void world::sendPeer(const process_ptr &from, const std::vector<peer_message> &messages)
+void simulation::sendPeer(const process_ptr &from, const std::vector<peer_message> &messages)
 {
     for (const auto &message : messages) {
         m_result.peerBytes += message.bytes.size();
-        const int copies = chance(m_settings.lossRate) ? 0 : chance(m_settings.doubleRate) ? 2 : 1;
+        const int copies = chance(m_settings.lossRate) ? 0
+            : chance(m_settings.duplicationRate)       ? 2
+                                                       : 1;
         for (int i = 0; i < copies; ++i) {
-            const bool slow = chance(m_settings.slowRate);
+            const bool slow = chance(m_settings.delayRate);
             const auto delay = drawTime(slow ? milliseconds{6'000} : milliseconds{30});
             at(m_now + delay, [this, from, message] {
                 const auto to = running(message.to);
@@ -279,9 +282,9 @@
     }
 }
 
-// Callers draw keys from their own clocks, within the bound, and send again up to long after the
-// window, to any process that still runs.
-void world::newCall()
+// Callers issue keys by their own clocks, within the bound on the skew. They resend until up to two
+// windows after the first request, to any running process.
+void simulation::newCall()
 {
     call made;
     made.isTicket = draw(4) == 0;
@@ -293,9 +296,10 @@
         made.name = *minted;
     } else {
         const auto skew = drawTime(ClockSkew) - ClockSkew / 2;
-        // One in twelve lies about its time, which must do no harm.
-        const auto lie = draw(12) == 0 ? drawTime(milliseconds{3'000}) : milliseconds{0};
-        const auto issued = std::chrono::hours{24 * 365 * 50} + m_now + skew + lie;
+        // One key in twelve has a time of issue up to 3 s in the future. This must break no
+        // invariant.
+        const auto clockError = draw(12) == 0 ? drawTime(milliseconds{3'000}) : milliseconds{0};
+        const auto issued = std::chrono::hours{24 * 365 * 50} + m_now + skew + clockError;
         const auto count = std::chrono::duration_cast<milliseconds>(issued).count();
         made.name = std::to_string(count) + "-call" + std::to_string(10'000 + m_calls.size());
     }
@@ -309,9 +313,9 @@
     }
 }
 
-void world::sendCall(std::size_t index, milliseconds after)
+void simulation::sendCall(std::size_t index, milliseconds after)
 {
-    const int copies = chance(m_settings.doubleRate) ? 2 : 1;
+    const int copies = chance(m_settings.duplicationRate) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         const auto delay = drawTime(i > 0 ? m_settings.maxRequestDelay : milliseconds{20});
         at(m_now + after + delay, [this, index] {
@@ -328,11 +332,11 @@
     }
 }
 
-void world::request(const process_ptr &on, std::size_t index, bool forwarded)
+void simulation::request(const process_ptr &on, std::size_t index, bool forwarded)
 {
     once_request asked;
     asked.customer = customer_id{"saare"};
-    asked.homeDataCenter = Here;
+    asked.homeDataCenter = OwnDataCenter;
     (m_calls[index].isTicket ? asked.ticket : asked.key) = m_calls[index].name;
     asked.digest = index;
     asked.deadline = on->clock->now() + Deadline;
@@ -343,24 +347,24 @@
         atProcess(m_now + drawTime(milliseconds{500}), on,
                   [this, on, index, record] { check(on, index, record); });
     } else if (const auto *answer = std::get_if<give_answer>(&verdict)) {
-        ++m_result.answersAgain;
-        tell(index, answer->answer.outcome);
+        ++m_result.repeatedAnswers;
+        recordOutcome(index, answer->answer.outcome);
     } else if (const auto *refused = std::get_if<refuse_call>(&verdict)) {
-        tell(index, refused->outcome);
+        recordOutcome(index, refused->outcome);
     } else if (const auto *forward = std::get_if<forward_to>(&verdict)) {
         const auto to = running(forward->vm);
         if (to && connected(*on, *to)) {
             const auto delay = drawTime(chance(0.05) ? milliseconds{8'000} : milliseconds{20});
             atProcess(m_now + delay, to, [this, to, index] { request(to, index, true); });
         } else {
-            tell(index, outcome::Unknown);
+            recordOutcome(index, outcome::Unknown);
         }
     }
 }
 
-void world::check(const process_ptr &on, std::size_t index, record_handle record)
+void simulation::check(const process_ptr &on, std::size_t index, record_handle record)
 {
-    const bool refuses = draw(10) == 0; // as an engine that is overloaded
+    const bool refuses = draw(10) == 0; // as an overloaded engine does
     if (refuses || !on->gate->mayDispatch(record)) {
         finish(on, index, record, outcome::NotRun);
         return;
@@ -372,44 +376,45 @@
     atProcess(m_now, on, [this, on, index, record] { send(on, index, record); });
 }
 
-void world::send(const process_ptr &on, std::size_t index, record_handle record)
+void simulation::send(const process_ptr &on, std::size_t index, record_handle record)
 {
     call &sent = m_calls[index];
     on->gate->onDispatched(record);
     ++m_result.runs;
     if (++sent.runs > 1)
-        violate("run twice", sent);
-    if (sent.saidNotRun)
-        violate("run after not_run", sent);
+        reportViolation("run twice", sent);
+    if (sent.reportedNotRun)
+        reportViolation("run after not_run", sent);
     atProcess(m_now + drawTime(milliseconds{800}), on,
               [this, on, index, record] { finish(on, index, record, outcome::Answered); });
 }
 
-void world::finish(const process_ptr &on, std::size_t index, record_handle record, outcome ended)
+void simulation::finish(const process_ptr &on, std::size_t index, record_handle record,
+                        outcome ended)
 {
     final_answer answer;
     answer.outcome = ended;
     if (ended == outcome::Answered)
         answer.output = std::make_shared<const std::string>("\"done\"");
     on->gate->onFinished(record, answer);
-    tell(index, ended);
+    recordOutcome(index, ended);
 }
 
-void world::tell(std::size_t index, outcome ended)
+void simulation::recordOutcome(std::size_t index, outcome ended)
 {
-    call &told = m_calls[index];
+    call &affected = m_calls[index];
     m_result.unknown += ended == outcome::Unknown ? 1 : 0;
     if (ended != outcome::NotRun)
         return;
     ++m_result.notRun;
-    told.saidNotRun = true;
-    if (told.runs > 0)
-        violate("not_run of a call that ran", told);
+    affected.reportedNotRun = true;
+    if (affected.runs > 0)
+        reportViolation("not_run reported for a call that ran", affected);
 }
 
-void world::replace(const process_ptr &old, bool goesOn)
+void simulation::replace(const process_ptr &old, bool keepsRunning)
 {
-    if (goesOn)
+    if (keepsRunning)
         old->isolated = true;
     else
         old->alive = false;
@@ -419,8 +424,8 @@
     start(name);
 }
 
-// The old VMs keep each other's company on a side of their own, with the list of before.
-void world::replaceMost(milliseconds length)
+// The replaced VMs form a partition of their own, and keep the VM list from before.
+void simulation::replaceMajority(milliseconds length)
 {
     const std::size_t most = m_listed.size() / 2 + 1;
     const auto before = m_listed;
@@ -430,28 +435,28 @@
             continue;
         replace(old, true);
         old->isolated = false;
-        old->side = 2;
-        old->offPlatformUntil = std::chrono::hours{1};
+        old->partitionId = 2;
+        old->platformUnreachableUntil = std::chrono::hours{1};
         at(m_now + length, [old] { old->alive = false; });
     }
 }
 
-void world::cut(milliseconds length)
+void simulation::partition(milliseconds length)
 {
     for (const auto &vm : m_listed) {
         const auto each = running(vm);
-        const int side = draw(2);
-        if (!each || each->side == 2)
+        const int partitionId = draw(2);
+        if (!each || each->partitionId == 2)
             continue;
-        each->side = side;
+        each->partitionId = partitionId;
         at(m_now + length, [each] {
-            if (each->side != 2)
-                each->side = 0;
+            if (each->partitionId != 2)
+                each->partitionId = 0;
         });
     }
 }
 
-void world::leave(const process_ptr &on)
+void simulation::leave(const process_ptr &on)
 {
     if (on->leaving)
         return;
@@ -463,7 +468,7 @@
     });
 }
 
-void world::apply(const fault &what)
+void simulation::apply(const fault &what)
 {
     const auto target = listedProcess(what.target);
     if (!target)
@@ -480,12 +485,12 @@
     case fault_kind::Replace:
         replace(target, false);
         break;
-    case fault_kind::ReplaceCutOff:
+    case fault_kind::ReplaceIsolated:
         replace(target, true);
         at(m_now + length * 2, [target] { target->alive = false; });
         break;
-    case fault_kind::ReplaceMost:
-        replaceMost(length * 2);
+    case fault_kind::ReplaceMajority:
+        replaceMajority(length * 2);
         break;
     case fault_kind::Pause:
         target->pausedUntil = m_now + length;
@@ -493,11 +498,11 @@
     case fault_kind::PauseBeforeSend:
         target->pauseBeforeSend = true;
         break;
-    case fault_kind::Cut:
-        cut(length);
+    case fault_kind::Partition:
+        partition(length);
         break;
-    case fault_kind::CutFromPlatform:
-        target->offPlatformUntil = m_now + length;
+    case fault_kind::PlatformUnreachable:
+        target->platformUnreachableUntil = m_now + length;
         break;
     case fault_kind::Leave:
         leave(target);
@@ -508,7 +513,7 @@
     }
 }
 
-world_result world::run()
+simulation_result simulation::run()
 {
     const auto begin = m_now;
     for (std::uint32_t i = 0; i < m_settings.vms; ++i)
@@ -527,16 +532,16 @@
         m_queue.pop();
         m_now = next.at;
         ++m_result.events;
-        next.act();
+        next.action();
     }
     return m_result;
 }
 
 } // namespace
 
-world_result runWorld(const world_settings &settings, const gate_factory &makeGate)
+simulation_result runSimulation(const simulation_settings &settings, const gate_factory &makeGate)
 {
-    return world{settings, makeGate}.run();
+    return simulation{settings, makeGate}.run();
 }
 
 } // namespace orchidlead::testing
--- a/tests/core/at_most_once_world.h
+++ b/tests/core/at_most_once_simulation.h
@@ -13,10 +13,11 @@
 #include <string>
 #include <vector>
 
-/// Several gates over a fake network, with callers who resend and faults from a list.
+/// A deterministic simulation of several gates on a fake network, with callers that resend and with
+/// a list of injected faults.
 namespace orchidlead::testing {
 
-/// A gate of any guards.
+/// Interface of a gate, whichever guards it has.
 class any_gate
 {
 public:
@@ -35,10 +36,10 @@
 };
 
 template <at_most_once_guards Guards>
-class gate_of final : public any_gate
+class gate_adapter final : public any_gate
 {
 public:
-    gate_of(const at_most_once_settings &settings, const clock_source &clock)
+    gate_adapter(const at_most_once_settings &settings, const clock_source &clock)
         : m_gate(settings, clock)
     { }
 
@@ -68,52 +69,57 @@
     std::function<std::unique_ptr<any_gate>(const at_most_once_settings &, const clock_source &)>;
 
 template <at_most_once_guards Guards>
-gate_factory gatesWith()
+gate_factory makeGateFactory()
 {
     return [](const at_most_once_settings &settings, const clock_source &clock) {
-        return std::make_unique<gate_of<Guards>>(settings, clock);
+        return std::make_unique<gate_adapter<Guards>>(settings, clock);
     };
 }
 
 enum class fault_kind {
-    Restart, ///< the process is killed, and a new one starts on the same VM
-    Replace, ///< the VM is gone; another is listed in its place
-    ReplaceCutOff, ///< as `Replace`, but the old VM goes on, cut off from all but callers
-    ReplaceMost, ///< `ReplaceCutOff` for more than half of the VMs, which go on together
-    Pause, ///< the process stands still, and then acts on what it has
-    PauseBeforeSend, ///< as `Pause`, between the last check and the next send
-    Cut, ///< the VMs are split into two sides
-    CutFromPlatform, ///< the VM's list is not refreshed
+    Restart, ///< the process is killed and restarted on the same VM
+    Replace, ///< the VM stops; another is listed in its place
+    /// As `Replace`, but the old VM continues to run, and only callers can reach it.
+    ReplaceIsolated,
+    /// As `ReplaceIsolated` for more than half of the VMs, which can still reach each other.
+    ReplaceMajority,
+    /// The process is paused, and processes all pending events when it resumes.
+    Pause,
+    /// As `Pause`, between the check before the next send and the send.
+    PauseBeforeSend,
+    Partition, ///< the VMs are split into two sides
+    PlatformUnreachable, ///< the VM list of the node is not refreshed
     Leave, ///< planned stop
-    SkewClock, ///< the time of day moves within the bound
+    SkewClock, ///< the wall clock changes within the bound
 };
 
-inline constexpr int FaultKinds = 10;
+inline constexpr int FaultKindCount = 10;
 
 struct fault
 {
     fault_kind kind = fault_kind::Restart;
-    std::uint32_t second = 0; ///< when
-    std::uint32_t target = 0; ///< which VM, modulo their number
+    std::uint32_t second = 0; ///< seconds from the start
+    std::uint32_t target = 0; ///< VM index modulo the number of VMs
     std::uint32_t length = 0; ///< seconds
 };
 
-/// Times are a good deal shorter than the daemon's, in the same proportions.
-struct world_settings
+/// Leases, windows and other times are shorter than the daemon's, in similar proportions.
+struct simulation_settings
 {
     std::uint64_t seed = 1;
     std::uint32_t seconds = 150;
     std::uint32_t vms = 4;
     std::uint32_t callsPerSecond = 8;
     double lossRate = 0.03;
-    double doubleRate = 0.05;
-    double slowRate = 0.03; ///< of messages between peers, delayed by up to two leases
-    milliseconds maxRequestDelay{12'000}; ///< of a doubled or slow request
+    double duplicationRate = 0.05;
+    /// Rate of peer messages that are delayed by up to 6 s, three times the lease.
+    double delayRate = 0.03;
+    milliseconds maxRequestDelay{12'000}; ///< of a duplicated request
     std::vector<fault> faults;
 };
 
-/// What happened; `violation` is empty where every invariant held.
-struct world_result
+/// Counts of a simulation. `violation` is empty if every invariant held.
+struct simulation_result
 {
     std::string violation;
     std::uint64_t events = 0;
@@ -121,11 +127,12 @@
     std::uint64_t runs = 0;
     std::uint64_t notRun = 0;
     std::uint64_t unknown = 0;
-    std::uint64_t answersAgain = 0;
+    std::uint64_t repeatedAnswers = 0;
     std::uint64_t peerBytes = 0;
 };
 
-/// Runs one world to its end, or to the first broken invariant.
-[[nodiscard]] world_result runWorld(const world_settings &settings, const gate_factory &makeGate);
+/// Runs a simulation to its end or to the first violated invariant.
+[[nodiscard]] simulation_result runSimulation(const simulation_settings &settings,
+                                              const gate_factory &makeGate);
 
 } // namespace orchidlead::testing
