--- a/include/orchidlead/fair_queue.h
+++ b/include/orchidlead/fair_queue.h
@@ -16,57 +16,61 @@
 
 namespace orchidlead {
 
-/// Where an item waits; also the handle to take it out again.
-struct queue_place
+/// Position of an item in the queue. Also the handle for removing it.
+struct queue_position
 {
-    std::uint32_t lane = 0; ///< 0 goes first
-    bool paid = false; ///< earlier work was done for it already; goes before new work in its lane
+    std::uint32_t lane = 0; ///< 0 has the highest priority
+    /// Work was already done for the item's request. Such items go before the customer's new items.
+    bool inProgress = false;
     customer_id customer;
-    steady_time latestStart; ///< least slack goes first among the items of one customer
-    std::uint64_t sequence = 0; ///< given by the queue
+    steady_time latestStart; ///< orders the items of a customer
+    std::uint64_t sequence = 0; ///< assigned by the queue
 };
 
-/// Orders waiting work: by lane, then customers by weighted fair share, then each customer's paid
-/// work before its new work, then by slack. Each lower lane is served at least once in
-/// `LowLaneEvery` items, so that it is late but not lost.
+/// Priority queue with weighted fair sharing between customers.
 ///
-/// Start-time fair queueing: an item's cost advances its customer's tag, and the customer with
-/// the lowest tag is next. A customer's memory ends when it has nothing queued and the others
-/// have caught up.
+/// Items are ordered by lane, then by the fair share of their customers, then the items in progress
+/// of a customer before its new items, then by least slack. Each lower lane is served at least once
+/// in `LowLaneInterval` items, so that it cannot starve.
+///
+/// Start-time fair queueing: an item's cost advances its customer's tag, and the customer with the
+/// lowest tag is next. The state of a customer without items is removed when the virtual time has
+/// reached its finish tag.
 template <class Item>
 class fair_queue
 {
 public:
     static constexpr std::uint32_t Lanes = 3;
-    static constexpr std::uint32_t LowLaneEvery = 8;
+    static constexpr std::uint32_t LowLaneInterval = 8;
 
-    /// Adds an item; `cost` is in units of the caller's choice, the same for all.
-    queue_place push(Item item, queue_place place, double cost = 1.0);
+    /// Adds an item. All costs are in the same unit, which the caller chooses.
+    queue_position push(Item item, queue_position position, double cost = 1.0);
 
-    /// Takes out the next item.
+    /// Removes and returns the next item.
     [[nodiscard]] std::optional<Item> pop();
 
-    /// Takes out an item that no longer waits; false where it isn't there.
-    bool remove(const queue_place &place);
+    /// Removes an item. Returns false if it is not in the queue.
+    bool remove(const queue_position &position);
 
-    /// Takes out the new item with the most slack of the customer with the most items, from the
-    /// lowest lane that has work and isn't above `lane`. Nothing if that customer has no new work,
-    /// would be the one asking, or has no more items than it.
+    /// Removes and returns the new item with the most slack of the customer with the most items, in
+    /// the lowest-priority lane that is not empty and not above `lane`. Returns nothing if that
+    /// customer has no new items. In `lane` itself, it must also have at least two items more than
+    /// `customer`.
     [[nodiscard]] std::optional<Item> evictFor(std::uint32_t lane, const customer_id &customer);
 
     [[nodiscard]] std::size_t size() const { return m_size; }
     [[nodiscard]] bool empty() const { return m_size == 0; }
 
-    /// Estimates how many items of its lane would go before a new one, if the customer had
-    /// `ownComing` and all customers together `coming` more in the queue.
+    /// Estimates how many items of the lane would go before a new one of `customer`, if that
+    /// customer had `ownExpected` and all customers together `expected` more items in the queue.
     [[nodiscard]] std::size_t ahead(std::uint32_t lane, const customer_id &customer,
-                                    std::size_t ownComing = 0, std::size_t coming = 0) const;
+                                    std::size_t ownExpected = 0, std::size_t expected = 0) const;
 
 private:
     /// Orders the items of one customer.
     struct slack_key
     {
-        bool isNew = true; ///< paid work goes first
+        bool isNew = true; ///< items in progress go first
         steady_time latestStart;
         std::uint64_t sequence = 0;
 
@@ -77,9 +81,9 @@
         }
     };
 
-    static slack_key keyOf(const queue_place &place)
+    static slack_key keyOf(const queue_position &position)
     {
-        return {!place.paid, place.latestStart, place.sequence};
+        return {!position.inProgress, position.latestStart, position.sequence};
     }
 
     struct queued_item
@@ -91,7 +95,7 @@
     struct customer_queue
     {
         customer_id customer;
-        std::uint64_t index = 0; ///< breaks ties the same way in every run
+        std::uint64_t index = 0; ///< breaks ties deterministically
         double start = 0.0;
         double finish = 0.0;
         std::map<slack_key, queued_item> items;
@@ -127,7 +131,7 @@
     {
         return {queue.finish, queue.index, &queue};
     }
-    static tagged_customer byItems(customer_queue &queue)
+    static tagged_customer byItemCount(customer_queue &queue)
     {
         return {static_cast<double>(queue.items.size()), queue.index, &queue};
     }
@@ -137,26 +141,26 @@
     void deactivate(lane_state &lane, customer_queue &queue);
     Item takeFirst(lane_state &lane, customer_queue &queue);
     Item popFrom(lane_state &lane);
-    void forgetIdle(lane_state &lane);
+    void removeIdleCustomers(lane_state &lane);
     [[nodiscard]] lane_state *nextLane();
 
     std::array<lane_state, Lanes> m_lanes;
     std::size_t m_size = 0;
     std::uint64_t m_sequence = 0;
-    std::uint64_t m_customers = 0;
-    std::uint64_t m_pops = 0;
+    std::uint64_t m_lastCustomerIndex = 0;
+    std::uint64_t m_popCount = 0;
 };
 
-/// Baseline: first come, first served, without regard to priority, slack or customer.
+/// Baseline: first in, first out, regardless of priority, slack and customer.
 template <class Item>
 class fifo_queue
 {
 public:
-    queue_place push(Item item, queue_place place, double = 1.0)
+    queue_position push(Item item, queue_position position, double = 1.0)
     {
-        place.sequence = ++m_sequence;
-        m_items.emplace(place.sequence, std::move(item));
-        return place;
+        position.sequence = ++m_sequence;
+        m_items.emplace(position.sequence, std::move(item));
+        return position;
     }
 
     [[nodiscard]] std::optional<Item> pop()
@@ -168,7 +172,7 @@
         return first;
     }
 
-    bool remove(const queue_place &place) { return m_items.erase(place.sequence) > 0; }
+    bool remove(const queue_position &position) { return m_items.erase(position.sequence) > 0; }
     [[nodiscard]] std::optional<Item> evictFor(std::uint32_t, const customer_id &)
     {
         return std::nullopt;
@@ -176,9 +180,9 @@
     [[nodiscard]] std::size_t size() const { return m_items.size(); }
     [[nodiscard]] bool empty() const { return m_items.empty(); }
     [[nodiscard]] std::size_t ahead(std::uint32_t, const customer_id &, std::size_t = 0,
-                                    std::size_t coming = 0) const
+                                    std::size_t expected = 0) const
     {
-        return m_items.size() + coming;
+        return m_items.size() + expected;
     }
 
 private:
@@ -193,7 +197,7 @@
     const auto [it, isNew] = lane.customers.try_emplace(customer);
     if (isNew) {
         it->second.customer = customer;
-        it->second.index = ++m_customers;
+        it->second.index = ++m_lastCustomerIndex;
     }
     return it->second;
 }
@@ -209,38 +213,38 @@
 void fair_queue<Item>::deactivate(lane_state &lane, customer_queue &queue)
 {
     lane.idle.insert(byFinish(queue));
-    forgetIdle(lane);
+    removeIdleCustomers(lane);
 }
 
 template <class Item>
-queue_place fair_queue<Item>::push(Item item, queue_place place, double cost)
+queue_position fair_queue<Item>::push(Item item, queue_position position, double cost)
 {
-    place.lane = std::min(place.lane, Lanes - 1);
-    place.sequence = ++m_sequence;
-    lane_state &lane = m_lanes[place.lane];
-    const slack_key key = keyOf(place);
+    position.lane = std::min(position.lane, Lanes - 1);
+    position.sequence = ++m_sequence;
+    lane_state &lane = m_lanes[position.lane];
+    const slack_key key = keyOf(position);
     ++lane.size;
     ++m_size;
-    customer_queue &queue = customerQueue(lane, place.customer);
+    customer_queue &queue = customerQueue(lane, position.customer);
     if (queue.items.empty()) {
         lane.idle.erase(byFinish(queue));
         activate(lane, queue);
     }
-    lane.bySize.erase(byItems(queue));
+    lane.bySize.erase(byItemCount(queue));
     queue.items.emplace(key, queued_item{std::move(item), cost});
-    lane.bySize.insert(byItems(queue));
-    return place;
+    lane.bySize.insert(byItemCount(queue));
+    return position;
 }
 
 template <class Item>
 auto fair_queue<Item>::nextLane() -> lane_state *
 {
-    ++m_pops;
-    // Each lower lane has a turn of its own.
-    const std::uint64_t turn = m_pops % LowLaneEvery;
+    ++m_popCount;
+    // Each lower lane has its own turn in the interval.
+    const std::uint64_t turn = m_popCount % LowLaneInterval;
     if (turn == 0 && m_lanes[2].size > 0)
         return &m_lanes[2];
-    if (turn == LowLaneEvery / 2 && m_lanes[1].size > 0)
+    if (turn == LowLaneInterval / 2 && m_lanes[1].size > 0)
         return &m_lanes[1];
     for (lane_state &lane : m_lanes) {
         if (lane.size > 0)
@@ -266,13 +270,13 @@
     customer_queue &queue = *lane.active.begin()->queue;
     lane.active.erase(lane.active.begin());
     lane.virtualTime = queue.start;
-    lane.bySize.erase(byItems(queue));
+    lane.bySize.erase(byItemCount(queue));
     Item item = takeFirst(lane, queue);
     if (queue.items.empty()) {
         deactivate(lane, queue);
         return item;
     }
-    lane.bySize.insert(byItems(queue));
+    lane.bySize.insert(byItemCount(queue));
     activate(lane, queue);
     return item;
 }
@@ -288,20 +292,20 @@
 }
 
 template <class Item>
-bool fair_queue<Item>::remove(const queue_place &place)
+bool fair_queue<Item>::remove(const queue_position &position)
 {
-    lane_state &lane = m_lanes[std::min(place.lane, Lanes - 1)];
-    const slack_key key = keyOf(place);
-    const auto it = lane.customers.find(place.customer);
+    lane_state &lane = m_lanes[std::min(position.lane, Lanes - 1)];
+    const slack_key key = keyOf(position);
+    const auto it = lane.customers.find(position.customer);
     if (it == lane.customers.end() || it->second.items.count(key) == 0)
         return false;
     customer_queue &queue = it->second;
-    lane.bySize.erase(byItems(queue));
+    lane.bySize.erase(byItemCount(queue));
     queue.items.erase(key);
     --lane.size;
     --m_size;
     if (!queue.items.empty()) {
-        lane.bySize.insert(byItems(queue));
+        lane.bySize.insert(byItemCount(queue));
         return true;
     }
     lane.active.erase(byStart(queue));
@@ -327,31 +331,31 @@
         const auto last = std::prev(largest.items.end());
         if (!last->first.isNew)
             return std::nullopt;
-        queue_place place{number, false, largest.customer, last->first.latestStart,
-                          last->first.sequence};
+        queue_position position{number, false, largest.customer, last->first.latestStart,
+                                last->first.sequence};
         std::optional<Item> item{std::move(last->second.item)};
-        remove(place);
+        remove(position);
         return item;
     }
     return std::nullopt;
 }
 
-// A customer's own items wait behind one another; of each other customer, fair sharing lets at
-// most as many go first.
+// A new item waits for all items of its own customer. With fair sharing, at most as many items of
+// each other customer go before it.
 template <class Item>
 std::size_t fair_queue<Item>::ahead(std::uint32_t laneNumber, const customer_id &customer,
-                                    std::size_t ownComing, std::size_t coming) const
+                                    std::size_t ownExpected, std::size_t expected) const
 {
     const lane_state &lane = m_lanes[std::min(laneNumber, Lanes - 1)];
     const auto own = lane.customers.find(customer);
     const std::size_t ownItems = own == lane.customers.end() ? 0 : own->second.items.size();
     const std::size_t isNew = ownItems == 0 ? 1 : 0;
-    const std::size_t fair = (ownItems + ownComing + 1) * (lane.active.size() + isNew) - 1;
-    return std::min(lane.size + coming, fair);
+    const std::size_t fairShare = (ownItems + ownExpected + 1) * (lane.active.size() + isNew) - 1;
+    return std::min(lane.size + expected, fairShare);
 }
 
 template <class Item>
-void fair_queue<Item>::forgetIdle(lane_state &lane)
+void fair_queue<Item>::removeIdleCustomers(lane_state &lane)
 {
     while (!lane.idle.empty()) {
         const tagged_customer oldest = *lane.idle.begin();
--- a/include/orchidlead/latency_histogram.h
+++ b/include/orchidlead/latency_histogram.h
@@ -9,8 +9,8 @@
 
 /// Estimates quantiles of recent durations in fixed memory.
 ///
-/// Buckets grow by a factor of 2^(1/8) from 64 µs on, so a quantile is within 5 % or so. Old
-/// observations fade: all counts are halved whenever their sum reaches a bound.
+/// Bucket bounds grow by a factor of 2^(1/8) from 64 µs, so the error of a quantile is about 5 %.
+/// Older observations lose weight: all counts are halved when their sum reaches `MaxWeight`.
 class latency_histogram
 {
 public:
@@ -18,11 +18,10 @@
 
     void observe(duration value);
 
-    /// Gives the duration that a share `quantile` (0 to 1) of the observations don't exceed;
-    /// zero without observations.
+    /// Returns the quantile for `quantile` in [0, 1], or zero without observations.
     [[nodiscard]] duration quantile(double quantile) const;
 
-    /// Gives the number of observations, faded ones counted in part.
+    /// Returns the sum of all counts. Older observations count less than one each.
     [[nodiscard]] std::uint32_t weight() const { return m_weight; }
 
 private:
@@ -32,8 +31,8 @@
     static constexpr std::uint32_t MaxWeight = 1024;
 
     [[nodiscard]] static std::size_t bucketOf(duration value);
-    [[nodiscard]] static duration middleOf(std::size_t bucket);
-    void halve();
+    [[nodiscard]] static duration midpointOf(std::size_t bucket);
+    void halveCounts();
 
     std::array<std::uint16_t, Buckets> m_counts{};
     std::uint32_t m_weight = 0;
--- a/include/orchidlead/retry_budget.h
+++ b/include/orchidlead/retry_budget.h
@@ -5,17 +5,18 @@
 
 namespace orchidlead {
 
-/// What limits second tries (retries and hedges alike) of one pool.
+/// Limits the second attempts, that is retries and hedges, of one pool.
 template <class Policy>
 concept retry_budget_policy = std::default_initializable<Policy> && requires(Policy &budget)
 {
-    budget.onFirstTry();
+    budget.onFirstAttempt();
     {
-        budget.tryTake()
+        budget.tryAcquire()
         } -> std::same_as<bool>;
 };
 
-/// Grants second tries as a share of first tries, with a small reserve for quiet times.
+/// Token bucket for second attempts: each first attempt adds a fraction of a token, up to a small
+/// reserve, which permits second attempts when there is little traffic.
 class retry_budget
 {
 public:
@@ -25,10 +26,10 @@
         , m_tokens(reserve)
     { }
 
-    void onFirstTry() { m_tokens = std::min(m_reserve, m_tokens + m_share); }
+    void onFirstAttempt() { m_tokens = std::min(m_reserve, m_tokens + m_share); }
 
-    /// Takes the right to one second try, if there is one.
-    [[nodiscard]] bool tryTake()
+    /// Takes a token for one second attempt. Returns false if there is none.
+    [[nodiscard]] bool tryAcquire()
     {
         if (m_tokens < 1.0)
             return false;
@@ -47,18 +48,18 @@
     double m_tokens;
 };
 
-/// Baseline: no second try at all.
+/// Baseline: no second attempts.
 struct no_retries
 {
-    void onFirstTry() { }
-    [[nodiscard]] bool tryTake() { return false; }
+    void onFirstAttempt() { }
+    [[nodiscard]] bool tryAcquire() { return false; }
 };
 
-/// Baseline: as many second tries as the attempts of a stage allow.
+/// Baseline: second attempts are limited only by the maximum number of attempts per stage.
 struct unlimited_retries
 {
-    void onFirstTry() { }
-    [[nodiscard]] bool tryTake() { return true; }
+    void onFirstAttempt() { }
+    [[nodiscard]] bool tryAcquire() { return true; }
 };
 
 static_assert(retry_budget_policy<retry_budget>);
--- a/src/core/requests/admission.h
+++ b/src/core/requests/admission.h
@@ -8,16 +8,17 @@
 
 namespace orchidlead {
 
-/// What is known when it is asked whether work can still be on time.
+/// Inputs of the decision whether work can still meet its deadline.
 struct admission_view
 {
     std::chrono::microseconds remaining{0}; ///< until the deadline
-    std::chrono::microseconds likely{0}; ///< time of the stages to come, at the policy's quantile
-    std::chrono::microseconds queueWait{0}; ///< expected, in the longest of the queues
-    bool underShare = false; ///< the customer has no more open than its equal share
+    /// Time of the remaining stages, at a quantile that the policy chooses.
+    std::chrono::microseconds estimatedTime{0};
+    std::chrono::microseconds queueWait{0}; ///< expected wait in the longest queue
+    bool underShare = false; ///< the customer has at most its equal share of open requests
 };
 
-/// Whether a request is taken, and whether queued work is still worth starting.
+/// Decides whether to admit a request and whether to start queued work.
 template <class Policy>
 concept admission_policy =
     std::default_initializable<Policy> && requires(const Policy &policy, const admission_view &view)
@@ -35,39 +36,41 @@
         Policy::NewWorkQuantile
         } -> std::convertible_to<double>;
     {
-        Policy::PaidWorkQuantile
+        Policy::InProgressQuantile
         } -> std::convertible_to<double>;
 };
 
-/// Takes only what is likely to be on time; where the load is others', the benefit of the doubt is
-/// the customer's. Queued work is given up when it would likely be late, paid for or not: running
-/// it would take the time of work that can still be on time.
+/// Admits only requests that are likely to meet their deadline. The estimate is more optimistic for
+/// customers within their fair share, since the load comes from other customers.
+///
+/// Queued work that would likely be late is shed, even if earlier stages of its request have run:
+/// it would take capacity from work that can still meet its deadline.
 struct deadline_admission
 {
     static constexpr double AdmitQuantile = 0.9;
     static constexpr double UnderShareQuantile = 0.5;
     static constexpr double NewWorkQuantile = 0.75;
-    static constexpr double PaidWorkQuantile = 0.75;
+    static constexpr double InProgressQuantile = 0.75;
 
     [[nodiscard]] bool admits(const admission_view &view) const
     {
-        // The expected wait is a mean; half of the waits are longer.
+        // The expected wait is a mean, and half of the waits are longer.
         const auto wait = view.underShare ? view.queueWait : 3 * view.queueWait / 2;
-        return view.likely + wait <= view.remaining;
+        return view.estimatedTime + wait <= view.remaining;
     }
     [[nodiscard]] bool worthStarting(const admission_view &view) const
     {
-        return view.likely <= view.remaining;
+        return view.estimatedTime <= view.remaining;
     }
 };
 
-/// Baseline: takes everything that isn't past its deadline.
+/// Baseline: admits all requests whose deadline has not passed.
 struct admit_all
 {
     static constexpr double AdmitQuantile = 0.0;
     static constexpr double UnderShareQuantile = 0.0;
     static constexpr double NewWorkQuantile = 0.0;
-    static constexpr double PaidWorkQuantile = 0.0;
+    static constexpr double InProgressQuantile = 0.0;
 
     [[nodiscard]] bool admits(const admission_view &) const { return true; }
     [[nodiscard]] bool worthStarting(const admission_view &view) const
--- a/src/core/requests/answer_codec.cpp
+++ b/src/core/requests/answer_codec.cpp
@@ -50,7 +50,7 @@
     constexpr std::size_t MaxFields = 8;
     constexpr std::size_t MaxDepth = 2;
     const msgpack::unpack_limit limit{MaxFields, 0, bytes.size(), 0, 0, MaxDepth};
-    // The library reports malformed bytes by exceptions alone; they end here.
+    // The library reports malformed bytes only by exceptions.
     try {
         const auto handle = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
         return fromWire(handle.get().as<answer_wire>());
--- a/src/core/requests/answer_codec.h
+++ b/src/core/requests/answer_codec.h
@@ -9,11 +9,11 @@
 
 namespace orchidlead {
 
-/// Encodes how a call ended, for the next home of its key. Outputs above `maxOutput` bytes and the
-/// stages' reports are left out.
+/// Encodes the final answer of a call for the next home of its key. Omits outputs larger than
+/// `maxOutput` bytes and the stage reports.
 [[nodiscard]] std::string encodeAnswer(const final_answer &answer, std::size_t maxOutput);
 
-/// Reads what `encodeAnswer` wrote; nothing where the bytes are malformed.
+/// Decodes an answer written by `encodeAnswer`. Returns nothing if the bytes are malformed.
 [[nodiscard]] std::optional<final_answer> decodeAnswer(std::string_view bytes);
 
 } // namespace orchidlead
--- a/src/core/requests/attached_callers.cpp
+++ b/src/core/requests/attached_callers.cpp
@@ -6,13 +6,13 @@
 namespace orchidlead {
 
 namespace {
-constexpr std::size_t MaxCallersOfCall = 16;
+constexpr std::size_t MaxCallersPerCall = 16;
 } // namespace
 
 bool attached_callers::add(record_handle record, const request_id &request, steady_time deadline)
 {
     auto &callers = m_records[record];
-    if (callers.size() >= MaxCallersOfCall)
+    if (callers.size() >= MaxCallersPerCall)
         return false;
     callers.push_back(request);
     m_callers.emplace(request, caller{record, deadline});
--- a/src/core/requests/attached_callers.h
+++ b/src/core/requests/attached_callers.h
@@ -13,18 +13,18 @@
 
 namespace orchidlead {
 
-/// Keeps the callers that wait for the answer to a call that another copy of their request began;
-/// bounded for each call.
+/// Callers that wait for the answer to a call which another copy of their request started. Their
+/// number per call is bounded.
 class attached_callers
 {
 public:
-    /// Adds a caller; false where too many wait already.
+    /// Adds a caller. Returns false if the maximum number of callers already waits for the call.
     bool add(record_handle record, const request_id &request, steady_time deadline);
 
-    /// Removes one caller; false where it isn't attached.
+    /// Removes one caller. Returns false if it is not attached.
     bool remove(const request_id &request);
 
-    /// Removes and returns the callers of a call.
+    /// Removes and returns all callers of a call.
     [[nodiscard]] std::vector<request_id> take(record_handle record);
 
     /// Removes and returns the callers whose deadline has passed.
--- a/src/core/requests/call_records.cpp
+++ b/src/core/requests/call_records.cpp
@@ -18,7 +18,7 @@
     const std::uint64_t handle = record.handle.value;
     if (!record.id.empty())
         m_byId[record.id] = handle;
-    m_byAge.emplace(record.keepUntil, handle);
+    m_byExpiry.emplace(record.keepUntil, handle);
     return &m_records.emplace(handle, std::move(record)).first->second;
 }
 
@@ -82,14 +82,14 @@
     m_records.erase(found);
 }
 
-// A record in flight stays, whatever its age: its run may still end here. It goes with a later
-// call, once it has finished.
+// Expired records of calls in flight are kept, since the answer may still arrive. They are checked
+// again after one second.
 void call_records::expire(steady_time now)
 {
     std::vector<std::uint64_t> inFlight;
-    while (!m_byAge.empty() && m_byAge.begin()->first <= now) {
-        const std::uint64_t handle = m_byAge.begin()->second;
-        m_byAge.erase(m_byAge.begin());
+    while (!m_byExpiry.empty() && m_byExpiry.begin()->first <= now) {
+        const std::uint64_t handle = m_byExpiry.begin()->second;
+        m_byExpiry.erase(m_byExpiry.begin());
         const call_record *record = find(record_handle{handle});
         if (record == nullptr)
             continue;
@@ -101,7 +101,7 @@
             drop(record_handle{handle});
     }
     for (const auto handle : inFlight)
-        m_byAge.emplace(now + std::chrono::seconds{1}, handle);
+        m_byExpiry.emplace(now + std::chrono::seconds{1}, handle);
     while (!m_finished.empty() && find(record_handle{m_finished.front()}) == nullptr)
         m_finished.pop_front();
 }
--- a/src/core/requests/call_records.h
+++ b/src/core/requests/call_records.h
@@ -16,22 +16,22 @@
 
 namespace orchidlead {
 
-/// Names a record of the gate; valid until the record is dropped, and never reused.
+/// Identifies a call record. Valid until the record is dropped, and never reused.
 struct record_handle
 {
     std::uint64_t value = 0;
 
-    // clang-tidy 14 takes the comparison with 0 that the compiler writes for a null pointer.
+    // clang-tidy 14 mistakes the 0 in the generated comparison for a null pointer.
     // NOLINTNEXTLINE(modernize-use-nullptr)
     friend auto operator<=>(const record_handle &, const record_handle &) = default;
 };
 
-/// Where a call that may not be repeated stands.
+/// State of a call that must not be repeated.
 enum class call_state {
-    Accepted, ///< this node will run it, and nothing has left yet
-    Dispatched, ///< something may have left
+    Accepted, ///< this node will run the call and has sent nothing yet
+    Dispatched, ///< a byte may have been sent
     Finished,
-    HandedOver, ///< the previous home had it in flight; its fate isn't known here
+    HandedOver, ///< in flight at the previous home; its outcome is unknown here
 };
 
 template <>
@@ -42,46 +42,46 @@
     enum_name<call_state>{call_state::HandedOver, "handed_over"},
 };
 
-/// What a node remembers of one call.
+/// Record of one call.
 struct call_record
 {
     record_handle handle;
-    std::string id; ///< empty: nobody can ask for it again
+    std::string id; ///< empty if no later request can refer to the call
     std::uint64_t digest = 0;
     call_state state = call_state::Accepted;
     steady_time deadline;
     steady_time keepUntil;
-    final_answer answer; ///< where finished; the output may have been evicted
+    final_answer answer; ///< if finished; its output may have been evicted
 
-    /// Tells whether the caller can be given all of the answer.
+    /// Whether the whole answer is available, including its output.
     [[nodiscard]] bool answerable() const
     {
         return answer.outcome != outcome::Answered || answer.output != nullptr;
     }
 };
 
-/// The calls that a node accepted, with their answers, bounded in count, bytes and age.
+/// The calls that a node accepted and their answers, bounded in number, bytes and age.
 ///
-/// Outputs are evicted when there are too many bytes, oldest first; that a call has ended, and
-/// how, is kept for as long as its name may be used.
+/// Outputs are evicted, oldest first, when they exceed the limit of bytes. The outcome of a call is
+/// kept as long as its id may be used.
 class call_records
 {
 public:
     call_records(std::size_t maxRecords, std::size_t maxAnswerBytes);
 
-    /// Adds a record in state `Accepted`; nothing where all places are taken.
+    /// Adds a record. Returns null if the maximum number of records is reached.
     call_record *add(call_record record);
 
     [[nodiscard]] call_record *find(std::string_view id);
     [[nodiscard]] call_record *find(record_handle handle);
     [[nodiscard]] const call_record *find(record_handle handle) const;
 
-    /// Ends a call; only the first end counts.
+    /// Records the answer of a call. Later answers to the same call are ignored.
     void finish(call_record &record, const final_answer &answer);
 
     void drop(record_handle handle);
 
-    /// Drops what isn't in flight and has been kept long enough.
+    /// Drops expired records, except those of calls in flight.
     void expire(steady_time now);
 
     void forEach(const std::function<void(const call_record &)> &visit) const;
@@ -99,8 +99,8 @@
     std::size_t m_answerBytes = 0;
     std::unordered_map<std::uint64_t, call_record> m_records;
     std::unordered_map<std::string, std::uint64_t> m_byId;
-    std::multimap<steady_time, std::uint64_t> m_byAge; // keepUntil
-    std::deque<std::uint64_t> m_finished; // oldest first
+    std::multimap<steady_time, std::uint64_t> m_byExpiry;
+    std::deque<std::uint64_t> m_finished; ///< oldest first
 };
 
 } // namespace orchidlead
--- a/src/core/requests/caller_request.h
+++ b/src/core/requests/caller_request.h
@@ -10,21 +10,21 @@
 
 namespace orchidlead {
 
-/// What a caller asked for, checked in form but not yet against the configuration.
+/// A caller's request. Its syntax was checked, but not yet its agreement with the configuration.
 struct caller_request
 {
     customer_id customer;
     pipeline_id pipeline;
     payload input; ///< JSON value, as the caller wrote it
-    payload body; ///< the whole request, to be handed to another node; only where `named`
-    std::optional<milliseconds> deadline; ///< from when it was read; absent: the pipeline's
-    std::optional<bool> repeatable; ///< false: at most once, whatever the stages say
+    payload body; ///< the whole request, for forwarding to another node; only if `named`
+    std::optional<milliseconds> deadline; ///< since the request was read; default: the pipeline's
+    std::optional<bool> repeatable; ///< false: at most once, even if the stages are repeatable
     std::optional<std::string> ticket;
     std::optional<std::string> idempotencyKey;
     bool stream = false;
-    vm_id forwardedBy; ///< the node that handed it on; empty: it came from a caller
+    vm_id forwardedBy; ///< the forwarding node; empty if received from a caller
 
-    /// Tells whether other copies of the request may be recognised as such.
+    /// Whether the request has an identifier by which copies of it are detected.
     [[nodiscard]] bool named() const { return ticket || idempotencyKey; }
 };
 
--- a/src/core/requests/cost_ledger.cpp
+++ b/src/core/requests/cost_ledger.cpp
@@ -13,7 +13,7 @@
         lostBusy += cost.busy;
 }
 
-stage_cost cost_ledger::cost_total::view() const
+stage_cost cost_ledger::cost_total::toStats() const
 {
     using std::chrono::duration_cast;
     return {attempts, duration_cast<milliseconds>(busy), duration_cast<milliseconds>(lostBusy),
@@ -30,7 +30,8 @@
     return m_customers[customer];
 }
 
-void cost_ledger::charge(const pipeline_plan &plan, std::uint32_t stage, const attempt_cost &cost)
+void cost_ledger::recordCost(const pipeline_plan &plan, std::uint32_t stage,
+                             const attempt_cost &cost)
 {
     entry(plan.customer).cost.add(cost);
     const stage_key key{plan.id, plan.stages[stage].id};
@@ -61,7 +62,7 @@
     std::vector<pipeline_stage_stats> views;
     views.reserve(m_stages.size());
     for (const auto &[key, cost] : m_stages)
-        views.push_back({key.first, key.second, cost.view()});
+        views.push_back({key.first, key.second, cost.toStats()});
     return views;
 }
 
@@ -70,12 +71,13 @@
     std::vector<customer_stats> views;
     views.reserve(m_customers.size() + 1);
     for (const auto &[customer, counted] : m_customers)
-        views.push_back({customer, counted.outcomes, counted.cost.view()});
+        views.push_back({customer, counted.outcomes, counted.cost.toStats()});
     std::sort(views.begin(), views.end(), [](const customer_stats &a, const customer_stats &b) {
         return a.customer < b.customer;
     });
     if (m_otherCustomers.outcomes.submitted > 0)
-        views.push_back({customer_id{}, m_otherCustomers.outcomes, m_otherCustomers.cost.view()});
+        views.push_back(
+            {customer_id{}, m_otherCustomers.outcomes, m_otherCustomers.cost.toStats()});
     return views;
 }
 
--- a/src/core/requests/cost_ledger.h
+++ b/src/core/requests/cost_ledger.h
@@ -13,16 +13,18 @@
 
 namespace orchidlead {
 
-/// What one ended attempt cost.
+/// Cost of one ended attempt.
 struct attempt_cost
 {
-    std::chrono::microseconds busy{0}; ///< as the server says, or the time it was held
+    /// As reported by the server, or else the duration of the attempt.
+    std::chrono::microseconds busy{0};
     std::uint64_t tokens = 0;
-    bool used = false; ///< its output went into the answer
+    bool used = false; ///< the attempt's output was used
 };
 
-/// Accounts busy time and tokens by pipeline and stage and by customer, lost work included, and
-/// outcomes by customer. Bounded: customers beyond the bound share one entry without a name.
+/// Accounts for busy time and tokens, including wasted work, by pipeline stage and by customer, and
+/// for outcomes by customer. Customers beyond the limit share one entry without an id; pipeline
+/// stages beyond the limit are not counted.
 class cost_ledger
 {
 public:
@@ -30,7 +32,7 @@
         : m_maxCustomers(maxCustomers)
     { }
 
-    void charge(const pipeline_plan &plan, std::uint32_t stage, const attempt_cost &cost);
+    void recordCost(const pipeline_plan &plan, std::uint32_t stage, const attempt_cost &cost);
     void submitted(const customer_id &customer);
     void ended(const customer_id &customer, outcome result, bool attained);
 
@@ -50,7 +52,7 @@
         std::uint64_t tokens = 0;
 
         void add(const attempt_cost &cost);
-        [[nodiscard]] stage_cost view() const;
+        [[nodiscard]] stage_cost toStats() const;
     };
 
     struct customer_entry
--- a/src/core/requests/default_engine_policies.h
+++ b/src/core/requests/default_engine_policies.h
@@ -4,7 +4,7 @@
 
 namespace orchidlead {
 
-/// What the daemon runs.
+/// Policies of the daemon's engine.
 struct default_engine_policies
 {
     using answers = echo_guard;
--- a/src/core/requests/engine_admission_impl.h
+++ b/src/core/requests/engine_admission_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of engine_state: whether a request is taken, and how it ends.
+// Definitions of engine_state: admission and final answers.
 
 #include "core/requests/engine_constants.h"
 #include "core/requests/engine_state.h"
@@ -11,22 +11,22 @@
 
 namespace orchidlead {
 
-// Callers that were refused together must not come back together.
+// Keeps callers that were refused at the same time from retrying at the same time.
 template <class Policies>
-milliseconds engine_state<Policies>::spread(milliseconds wait)
+milliseconds engine_state<Policies>::addJitter(milliseconds wait)
 {
     using namespace engine_constants;
     const double factor = 0.75 + 0.5 * m_random.unit();
-    const auto spreadWait =
+    const auto jittered =
         milliseconds{static_cast<std::int64_t>(static_cast<double>(wait.count()) * factor)};
-    return std::clamp(spreadWait, ShortestRetryAfter, LongestRetryAfter);
+    return std::clamp(jittered, MinRetryAfter, MaxRetryAfter);
 }
 
 template <class Policies>
 void engine_state<Policies>::submit(pipeline_request request, engine_actions &out)
 {
     if (m_serials.count(request.id) > 0) {
-        dropAnswer({request.id, 0, 0}, "request id already in use", out);
+        discardEvent({request.id, 0, 0}, "request id already in use", out);
         return;
     }
     auto owned = std::make_unique<request_state>();
@@ -42,62 +42,63 @@
         return;
     }
     state.sizeClass = inputSizeClass(state.request.input->size());
-    const std::size_t prefix = std::min(state.request.input->size(), engine_constants::PrefixBytes);
+    const std::size_t prefix =
+        std::min(state.request.input->size(), engine_constants::HashedPrefixBytes);
     state.prefixHash = XXH64(state.request.input->data(), prefix, 0);
     state.stages.resize(state.plan().stages.size());
     for (std::size_t stage = 0; stage < state.stages.size(); ++stage)
         state.stages[stage].report.stage = state.plan().stages[stage].id;
     m_ledger.submitted(state.plan().customer);
-    if (const auto why = refuse(state)) {
-        refuseNow(state, *why, out);
+    if (const auto why = checkAdmission(state)) {
+        deliverRefusal(state, *why, out);
         return;
     }
     state.serial = ++m_lastSerial;
     m_serials[state.request.id] = state.serial;
     m_requests[state.serial] = std::move(owned);
-    ++m_openOf[state.plan().customer];
+    ++m_openRequestsOf[state.plan().customer];
     log(decision_kind::Admit, state, 0, 0, state.exploring ? "exploring" : "in time", out);
     addTimer(timer_kind::Deadline, state.request.deadline, state);
     for (std::uint32_t stage = 0; stage < state.stages.size(); ++stage)
         poolOf(state, stage)->expect(state.plan().customer);
-    startReady(state, out);
-    settle(out);
+    enqueueReadyStages(state, out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
-auto engine_state<Policies>::refuse(request_state &state) -> std::optional<refusal>
+auto engine_state<Policies>::checkAdmission(request_state &state) -> std::optional<refusal>
 {
     if (m_draining)
         return refusal{refusal_reason::Stopping, "this node is stopping",
-                       engine_constants::ShortestRetryAfter};
+                       engine_constants::MinRetryAfter};
     if (m_pools.empty())
         return refusal{refusal_reason::NoConfiguration, "no services are known yet",
-                       engine_constants::ShortestRetryAfter};
+                       engine_constants::MinRetryAfter};
     if (m_requests.size() >= m_settings.maxOpenRequests)
         return refusal{refusal_reason::Overloaded, "too many open requests",
-                       spread(milliseconds{1000})};
+                       addJitter(milliseconds{1000})};
     const std::uint32_t limit = state.plan().limits.maxOpenRequests;
-    const auto open = m_openOf.find(state.plan().customer);
-    if (limit > 0 && open != m_openOf.end() && open->second >= limit)
+    const auto open = m_openRequestsOf.find(state.plan().customer);
+    if (limit > 0 && open != m_openRequestsOf.end() && open->second >= limit)
         return refusal{refusal_reason::Overloaded, "too many open requests of this customer",
-                       spread(milliseconds{1000})};
+                       addJitter(milliseconds{1000})};
     if (sendDeadline(state) <= state.submitted)
         return refusal{refusal_reason::DeadlineTooShort, "no time left", std::nullopt};
-    // Time goes first: a probe of a broken pool is counted where it is granted.
-    if (auto why = refuseByTime(state))
+    // The deadline is checked first, since `checkPools` may use up a probe of a circuit breaker.
+    if (auto why = checkDeadline(state))
         return why;
-    return refuseByPools(state);
+    return checkPools(state);
 }
 
 template <class Policies>
-auto engine_state<Policies>::refuseByPools(request_state &state) -> std::optional<refusal>
+auto engine_state<Policies>::checkPools(request_state &state) -> std::optional<refusal>
 {
     for (std::uint32_t stage = 0; stage < state.stages.size(); ++stage) {
         pool_type *pool = poolOf(state, stage);
         const service_id &service = state.plan().stages[stage].service;
         if (pool == nullptr || pool->usable() == 0) {
             return refusal{refusal_reason::NoBackendServer, "no backend server of " + service.value,
-                           spread(milliseconds{1000})};
+                           addJitter(milliseconds{1000})};
         }
     }
     for (std::uint32_t stage = 0; stage < state.stages.size(); ++stage) {
@@ -108,7 +109,7 @@
             ++pool.refused;
             return refusal{refusal_reason::NoBackendServer,
                            "all backend servers of " + pool.id().value + " fail",
-                           spread(pool.breaker.retryAfter(state.submitted))};
+                           addJitter(pool.breaker.retryAfter(state.submitted))};
         }
         state.probing = true;
     }
@@ -124,8 +125,8 @@
         pool_type *pool = poolOf(state, stage);
         if (pool == nullptr)
             continue;
-        // What waits before a later stage has moved on by the time the request gets there; the
-        // longest of the queues, not their sum, is what stands in its way.
+        // The queues of later stages advance while the request is in earlier ones, so the wait is
+        // that of the longest queue, not the sum.
         const std::size_t ahead = pool->ahead(lane, state.plan().customer);
         longest = std::max(longest, pool->queueWait(lane, ahead));
     }
@@ -135,43 +136,44 @@
 template <class Policies>
 bool engine_state<Policies>::isUnderShare(const customer_id &customer) const
 {
-    const auto open = m_openOf.find(customer);
-    return open == m_openOf.end() || open->second * m_openOf.size() <= m_requests.size();
+    const auto open = m_openRequestsOf.find(customer);
+    return open == m_openRequestsOf.end()
+        || open->second * m_openRequestsOf.size() <= m_requests.size();
 }
 
 template <class Policies>
-void engine_state<Policies>::countClosed(const customer_id &customer)
+void engine_state<Policies>::onRequestClosed(const customer_id &customer)
 {
-    const auto open = m_openOf.find(customer);
-    if (open != m_openOf.end() && --open->second == 0)
-        m_openOf.erase(open);
+    const auto open = m_openRequestsOf.find(customer);
+    if (open != m_openRequestsOf.end() && --open->second == 0)
+        m_openRequestsOf.erase(open);
 }
 
 template <class Policies>
-auto engine_state<Policies>::refuseByTime(request_state &state) -> std::optional<refusal>
+auto engine_state<Policies>::checkDeadline(request_state &state) -> std::optional<refusal>
 {
     using std::chrono::duration_cast;
     using admission = typename Policies::admission;
     const bool underShare = isUnderShare(state.plan().customer);
     const double quantile = underShare ? admission::UnderShareQuantile : admission::AdmitQuantile;
-    const auto times = m_estimates.timesToEnd(state.plan(), state.sizeClass, quantile);
+    const auto times = m_estimates.remainingTimes(state.plan(), state.sizeClass, quantile);
     admission_view view;
     view.remaining = duration_cast<duration>(sendDeadline(state) - state.submitted);
-    view.likely = *std::max_element(times.begin(), times.end());
+    view.estimatedTime = *std::max_element(times.begin(), times.end());
     view.queueWait = longestQueueWait(state);
     view.underShare = underShare;
     if (m_admission.admits(view))
         return std::nullopt;
     const bool withoutQueue =
-        m_admission.admits({view.remaining, view.likely, duration{0}, underShare});
+        m_admission.admits({view.remaining, view.estimatedTime, duration{0}, underShare});
     if (withoutQueue) {
         if (pool_type *pool = poolOf(state, 0))
             ++pool->refused;
         return refusal{refusal_reason::Overloaded, "the queue is too long for the deadline",
-                       spread(duration_cast<milliseconds>(view.queueWait))};
+                       addJitter(duration_cast<milliseconds>(view.queueWait))};
     }
-    // Estimates that refuse everything would never be corrected.
-    if (++m_lateRefusals % engine_constants::ExploreEvery == 0) {
+    // If all requests were refused, the estimates would never be updated.
+    if (++m_deadlineRefusals % engine_constants::ExplorationInterval == 0) {
         state.exploring = true;
         return std::nullopt;
     }
@@ -180,8 +182,8 @@
 }
 
 template <class Policies>
-void engine_state<Policies>::refuseNow(const request_state &state, const refusal &why,
-                                       engine_actions &out)
+void engine_state<Policies>::deliverRefusal(const request_state &state, const refusal &why,
+                                            engine_actions &out)
 {
     log(decision_kind::Refuse, state, 0, 0, why.detail, out);
     m_ledger.ended(state.plan().customer, outcome::NotRun, false);
@@ -199,25 +201,25 @@
                                               engine_actions &out)
 {
     const bool late = m_clock.now() >= state.request.deadline;
-    finish(state, provenOutcome(state, late), why, out);
+    finish(state, outcomeWithoutAnswer(state, late), why, out);
 }
 
 template <class Policies>
 void engine_state<Policies>::finish(request_state &state, outcome result, const refusal &why,
                                     engine_actions &out)
 {
-    // What is given up at the deadline tells that its server is slow; a cancelled call doesn't.
+    // An attempt abandoned at the deadline shows that its server is slow; a cancelled one does not.
     const bool late = m_clock.now() >= state.request.deadline;
     for (std::uint32_t index = 0; index < state.stages.size(); ++index) {
         stage_state &stage = state.stages[index];
         pool_type *pool = poolOf(state, index);
         if (stage.status == stage_status::Queued && pool != nullptr)
-            pool->queue.remove(stage.place);
-        if (stage.expected && pool != nullptr)
+            pool->queue.remove(stage.position);
+        if (stage.countedAsExpected && pool != nullptr)
             pool->unexpect(state.plan().customer);
         for (attempt_state &attempt : stage.attempts) {
             if (attempt.live)
-                release(state, index, attempt, late, "request ended", out);
+                abandon(state, index, attempt, late, "request ended", out);
         }
     }
     if (result != outcome::Answered)
@@ -228,19 +230,19 @@
     answer.reason = why.reason;
     answer.detail = why.detail;
     answer.retryAfter = why.retryAfter;
-    answer.stages = reports(state);
+    answer.stages = stageReports(state);
     if (result == outcome::Answered)
         answer.output = state.stages.back().output;
     const bool attained = result == outcome::Answered && m_clock.now() <= state.request.deadline;
     m_ledger.ended(state.plan().customer, result, attained);
     out.emplace_back(deliver_answer{std::move(answer)});
-    countClosed(state.plan().customer);
+    onRequestClosed(state.plan().customer);
     m_serials.erase(state.request.id);
     m_requests.erase(state.serial);
 }
 
 template <class Policies>
-std::vector<stage_report> engine_state<Policies>::reports(const request_state &state) const
+std::vector<stage_report> engine_state<Policies>::stageReports(const request_state &state) const
 {
     std::vector<stage_report> views;
     views.reserve(state.stages.size());
@@ -258,7 +260,7 @@
     request_state &state = *m_requests[serial->second];
     log(decision_kind::Cancel, state, 0, 0, "the caller went away", out);
     finishUnanswered(state, {refusal_reason::Cancelled, "cancelled by the caller", {}}, out);
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
--- a/src/core/requests/engine_attempts_impl.h
+++ b/src/core/requests/engine_attempts_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of engine_state: attempts, their ends, retries and hedges.
+// Definitions of engine_state: attempts, their results, retries and hedges.
 
 #include "core/requests/engine_constants.h"
 #include "core/requests/engine_state.h"
@@ -40,10 +40,10 @@
     attempt.slot = choice.slot;
     attempt.server = pool.server(choice.slot).id;
     attempt.started = now;
-    attempt.typical = m_estimates.quantile(state.plan(), index, state.sizeClass, 0.5);
+    attempt.medianTime = m_estimates.quantile(state.plan(), index, state.sizeClass, 0.5);
     attempt.hedge = hedge;
     if (stage.attempts.empty())
-        stage.report.queued = std::chrono::duration_cast<milliseconds>(now - stage.ready);
+        stage.report.queued = std::chrono::duration_cast<milliseconds>(now - stage.readySince);
     stage.status = stage_status::Running;
     stage.report.attempts = attempt.number;
     stage.report.server = attempt.server;
@@ -54,8 +54,8 @@
     auto &line = std::get<log_decision>(out.back());
     for (std::uint32_t candidate = 0; candidate < choice.candidateCount; ++candidate)
         line.candidates.push_back(pool.server(choice.candidates[candidate]).id);
-    armTimers(pool, state, index, attempt);
-    out.emplace_back(sendAction(pool, state, index, attempt));
+    addAttemptTimers(pool, state, index, attempt);
+    out.emplace_back(makeSendAction(pool, state, index, attempt));
 }
 
 template <class Policies>
@@ -66,25 +66,25 @@
         ++stage.report.hedges;
     } else if (stage.attempts.empty()) {
         ++pool.firstTries;
-        pool.budget.onFirstTry();
+        pool.budget.onFirstAttempt();
     } else {
         ++pool.retries;
     }
 }
 
 template <class Policies>
-send_attempt engine_state<Policies>::sendAction(pool_type &pool, const request_state &state,
-                                                std::uint32_t index,
-                                                const attempt_state &attempt) const
+send_attempt engine_state<Policies>::makeSendAction(pool_type &pool, const request_state &state,
+                                                    std::uint32_t index,
+                                                    const attempt_state &attempt) const
 {
     const stage_plan &plan = state.plan().stages[index];
     send_attempt action;
     action.key = {state.request.id, index, attempt.number};
     action.stage = plan;
     action.customer = state.plan().customer;
-    // Where work waits here, this node's order is the fair one; the server's own order by
-    // priority would undo it and starve what is low.
-    const bool ordered = pool.smoothedQueueWait > engine_constants::NoticeableWait;
+    // With a significant wait in this node's queue, its order is the fair one. Sorting by priority
+    // again at the server would undo that order and starve low priorities.
+    const bool ordered = pool.smoothedQueueWait > engine_constants::SignificantQueueWaitMs;
     action.priority = ordered ? priority::High : state.plan().priority;
     action.server = attempt.server;
     action.address = pool.server(attempt.slot).address;
@@ -100,8 +100,8 @@
 }
 
 template <class Policies>
-void engine_state<Policies>::armTimers(pool_type &pool, const request_state &state,
-                                       std::uint32_t index, const attempt_state &attempt)
+void engine_state<Policies>::addAttemptTimers(pool_type &pool, const request_state &state,
+                                              std::uint32_t index, const attempt_state &attempt)
 {
     using std::chrono::duration_cast;
     const steady_time now = attempt.started;
@@ -110,19 +110,19 @@
     if (plan.timeout.count() > 0 && now + plan.timeout < end)
         addTimer(timer_kind::AttemptTimeout, now + plan.timeout, state, index, attempt.number);
 
-    const auto typicalToEnd = m_estimates.timesToEnd(state.plan(), state.sizeClass, 0.5);
-    const duration later = typicalToEnd[index] - attempt.typical;
+    const auto medianToEnd = m_estimates.remainingTimes(state.plan(), state.sizeClass, 0.5);
+    const duration later = medianToEnd[index] - attempt.medianTime;
     const duration slack = duration_cast<duration>(end - now) - later;
     const auto quantile = [&](double share) {
         return m_estimates.quantile(state.plan(), index, state.sizeClass, share);
     };
-    silence_view silence{attempt.typical, quantile(0.99), slack, pool.suspectedShare()};
+    silence_view silence{attempt.medianTime, quantile(0.99), slack, pool.suspectedShare()};
     const steady_time silent = now + m_silence.after(silence);
     if (silent < end)
         addTimer(timer_kind::Silence, silent, state, index, attempt.number);
     if (attempt.hedge || !Policies::repeats::mayHedge(plan))
         return;
-    const auto hedge = m_hedging.after({attempt.typical, quantile(0.95), slack});
+    const auto hedge = m_hedging.hedgeDelay({attempt.medianTime, quantile(0.95), slack});
     if (hedge && now + *hedge < end)
         addTimer(timer_kind::Hedge, now + *hedge, state, index, attempt.number);
 }
@@ -151,8 +151,8 @@
 }
 
 template <class Policies>
-void engine_state<Policies>::dropAnswer(const attempt_key &key, std::string_view why,
-                                        engine_actions &out)
+void engine_state<Policies>::discardEvent(const attempt_key &key, std::string_view why,
+                                          engine_actions &out)
 {
     ++m_droppedAnswers;
     log_decision line;
@@ -167,7 +167,7 @@
 {
     const live_attempt found = find(key);
     if (found.attempt == nullptr) {
-        dropAnswer(key, "part of an attempt that isn't live", out);
+        discardEvent(key, "chunk of an attempt that is not live", out);
         return;
     }
     request_state &state = *found.state;
@@ -176,12 +176,13 @@
     if (!state.request.stream || !isLast)
         return;
     found.attempt->sent = true;
-    if (stage.streamOwner == 0) {
-        stage.streamOwner = key.attempt;
-        releaseOthers(state, found.stage, key.attempt, "another attempt answers first", out);
+    if (stage.streamingAttempt == 0) {
+        stage.streamingAttempt = key.attempt;
+        abandonOthers(state, found.stage, key.attempt, "another attempt began to answer first",
+                      out);
     }
     out.emplace_back(deliver_chunk{key.request, std::move(text)});
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
@@ -189,16 +190,16 @@
 {
     const live_attempt found = find(answer.key);
     if (found.attempt == nullptr) {
-        dropAnswer(answer.key, "answer of an attempt that isn't live", out);
+        discardEvent(answer.key, "answer to an attempt that is not live", out);
         return;
     }
     if (!Policies::answers::accepts(answer.key, answer.echoed)) {
-        dropAnswer(answer.key, "answer names another attempt", out);
+        discardEvent(answer.key, "answer belongs to another attempt", out);
         fail(*found.state, found.stage, *found.attempt, attempt_failure::BadAnswer, {}, out);
     } else {
         complete(*found.state, found.stage, *found.attempt, answer, out);
     }
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
@@ -214,21 +215,21 @@
     m_estimates.observe(state.plan(), index, state.sizeClass, elapsed);
     if (pool_type *pool = poolOf(state, index)) {
         logHealth(*pool, attempt.slot,
-                  pool->onAnswered(attempt.slot, elapsed, attempt.typical, now), out);
-        touch(*pool);
+                  pool->onAnswered(attempt.slot, elapsed, attempt.medianTime, now), out);
+        markChanged(*pool);
     }
     const duration busy = answer.busy.count() > 0 ? duration{answer.busy} : elapsed;
-    charge(state, index, {busy, answer.tokens, true});
+    recordCost(state, index, {busy, answer.tokens, true});
     stage.status = stage_status::Done;
     stage.output = answer.output;
     stage.report.server = attempt.server;
-    stage.report.elapsed = duration_cast<milliseconds>(now - stage.ready);
+    stage.report.elapsed = duration_cast<milliseconds>(now - stage.readySince);
     stage.report.finished = true;
-    releaseOthers(state, index, attempt.number, "another attempt was quicker", out);
+    abandonOthers(state, index, attempt.number, "another attempt answered first", out);
     if (isFinished(state))
         finish(state, outcome::Answered, {}, out);
     else
-        startReady(state, out);
+        enqueueReadyStages(state, out);
 }
 
 template <class Policies>
@@ -237,11 +238,11 @@
 {
     const live_attempt found = find(key);
     if (found.attempt == nullptr) {
-        dropAnswer(key, "failure of an attempt that isn't live", out);
+        discardEvent(key, "failure of an attempt that is not live", out);
         return;
     }
     fail(*found.state, found.stage, *found.attempt, failure, retryAfter, out);
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
@@ -254,20 +255,20 @@
     const attempt_end end{failure, attempt.sent};
     attempt.live = false;
     if (!Policies::repeats::provesNotRun(end)) {
-        stage.unproven = true;
-        charge(state, index,
-               {std::chrono::duration_cast<duration>(now - attempt.started), 0, false});
+        stage.attemptMayHaveRun = true;
+        recordCost(state, index,
+                   {std::chrono::duration_cast<duration>(now - attempt.started), 0, false});
     }
     if (pool_type *pool = poolOf(state, index)) {
         const bool wasOpen = pool->breaker.isOpen();
         const std::uint64_t serial = state.serial;
         const auto change = pool->onFailed(attempt.slot, failure, retryAfter, now);
         logHealth(*pool, attempt.slot, change, out);
-        touch(*pool);
+        markChanged(*pool);
         if (!wasOpen && pool->breaker.isOpen())
-            failQueue(*pool, out);
-        // Another stage of the same request may have been in that queue.
-        if (findSerial(serial) == nullptr)
+            rejectQueued(*pool, out);
+        // Another stage of this request may have been in the rejected queue.
+        if (findRequest(serial) == nullptr)
             return;
     }
     if (liveAttempts(stage) > 0)
@@ -284,23 +285,24 @@
     stage_state &stage = state.stages[index];
     pool_type *pool = poolOf(state, index);
     const bool allowed = Policies::repeats::mayTryAgain(state.plan().stages[index], end)
-        && stage.streamOwner == 0 && stage.attempts.size() < m_settings.maxAttemptsPerStage;
-    const bool sensible = pool != nullptr && pool->usable() > 0 && !pool->breaker.isOpen()
+        && stage.streamingAttempt == 0 && stage.attempts.size() < m_settings.maxAttemptsPerStage;
+    const bool canSucceed = pool != nullptr && pool->usable() > 0 && !pool->breaker.isOpen()
         && latestStart(state, index, true) > m_clock.now();
     const bool refused =
         end.failure == attempt_failure::Refused || end.failure == attempt_failure::Leaving;
-    if (allowed && sensible && refused) {
-        // It cost the server nothing, and what was paid for earlier stages must not be lost.
+    if (allowed && canSucceed && refused) {
+        // A refusal costs the server nothing, so the retry needs no budget. Ending the request
+        // would waste the work of its earlier stages.
         log(decision_kind::Retry, state, index, static_cast<std::uint32_t>(stage.attempts.size()),
             std::string(toName(end.failure)), out);
         (void)enqueue(state, index, out);
         return;
     }
-    if (allowed && sensible && pool->budget.tryTake()) {
-        // A short pause lets the pool show whether one server failed or all did.
-        const milliseconds pause = m_settings.retryPause * (1U << (stage.attempts.size() - 1));
-        stage.status = stage_status::Pausing;
-        addTimer(timer_kind::Retry, m_clock.now() + pause, state, index);
+    if (allowed && canSucceed && pool->budget.tryAcquire()) {
+        // During a short backoff, other results show whether one server or the whole pool failed.
+        const milliseconds backoff = m_settings.retryBackoff * (1U << (stage.attempts.size() - 1));
+        stage.status = stage_status::BackingOff;
+        addTimer(timer_kind::Retry, m_clock.now() + backoff, state, index);
         log(decision_kind::Retry, state, index, static_cast<std::uint32_t>(stage.attempts.size()),
             std::string(toName(end.failure)), out);
         return;
@@ -313,38 +315,39 @@
         why.reason = refusal_reason::NoBackendServer;
     why.detail =
         "stage " + state.plan().stages[index].id.value + ": " + std::string(toName(end.failure));
-    why.retryAfter = spread(retryAfter.value_or(milliseconds{1000}));
+    why.retryAfter = addJitter(retryAfter.value_or(milliseconds{1000}));
     finishUnanswered(state, why, out);
 }
 
-// Gives up a live attempt of which nothing is expected any more.
+// Cancels a live attempt. With `countLatency`, its duration so far counts as a lower bound of the
+// server's latency.
 template <class Policies>
-void engine_state<Policies>::release(request_state &state, std::uint32_t index,
-                                     attempt_state &attempt, bool outrun, std::string_view why,
-                                     engine_actions &out)
+void engine_state<Policies>::abandon(request_state &state, std::uint32_t index,
+                                     attempt_state &attempt, bool countLatency,
+                                     std::string_view why, engine_actions &out)
 {
     const steady_time now = m_clock.now();
     const duration elapsed = std::chrono::duration_cast<duration>(now - attempt.started);
     attempt.live = false;
-    charge(state, index, {elapsed, 0, false});
+    recordCost(state, index, {elapsed, 0, false});
     log(decision_kind::Cancel, state, index, attempt.number, std::string(why), out, attempt.server);
     out.emplace_back(cancel_attempt{{state.request.id, index, attempt.number}, attempt.server});
     if (pool_type *pool = poolOf(state, index)) {
-        if (outrun)
-            pool->onOutrun(attempt.slot, elapsed, attempt.typical, now);
+        if (countLatency)
+            pool->onOutrun(attempt.slot, elapsed, attempt.medianTime, now);
         pool->onReleased(attempt.slot, now);
-        touch(*pool);
+        markChanged(*pool);
     }
 }
 
 template <class Policies>
-void engine_state<Policies>::releaseOthers(request_state &state, std::uint32_t index,
+void engine_state<Policies>::abandonOthers(request_state &state, std::uint32_t index,
                                            std::uint32_t winner, std::string_view why,
                                            engine_actions &out)
 {
     for (attempt_state &attempt : state.stages[index].attempts) {
         if (attempt.live && attempt.number != winner)
-            release(state, index, attempt, true, why, out);
+            abandon(state, index, attempt, true, why, out);
     }
 }
 
@@ -355,29 +358,30 @@
     stage_state &stage = state.stages[index];
     pool_type *pool = poolOf(state, index);
     const bool allowed = Policies::repeats::mayHedge(state.plan().stages[index])
-        && liveAttempts(stage) == 1 && stage.streamOwner == 0
+        && liveAttempts(stage) == 1 && stage.streamingAttempt == 0
         && stage.attempts.size() < m_settings.maxAttemptsPerStage;
     if (!allowed || pool == nullptr || pool->breaker.isOpen() || !pool->hasAvailable())
         return;
-    // A second attempt would take its place from work that waits for its first.
+    // A hedge would take capacity from queued work that has had no attempt yet.
     if (!pool->queue.empty())
         return;
-    // Where no server of the pool has answered since, it isn't this one that is slow.
+    // If no server of the pool has answered since, the whole pool is slow, not this server.
     const attempt_state &first = stage.attempts.back();
     if (pool->inFlight() > 1 && !pool->answeredSince(first.started))
         return;
-    // A timer may be noticed late.
+    // The timer may have been handled late.
     if (latestStart(state, index, true) <= m_clock.now())
         return;
     auto choice = route(*pool, state, index, true);
-    if (!choice || !pool->budget.tryTake())
+    if (!choice || !pool->budget.tryAcquire())
         return;
     choice->reason = why;
     dispatch(*pool, state, index, *choice, true, out);
 }
 
-// A server that is silent for longer than its like is suspected, whether or not a second attempt
-// helps this request. Where the whole pool is silent, waiting for the deadline helps nobody.
+// A server that does not answer for longer than expected is suspected, whether or not this request
+// is hedged. If the circuit breaker of the pool is open, the attempt fails at once instead of at
+// the deadline.
 template <class Policies>
 void engine_state<Policies>::onSilence(request_state &state, std::uint32_t index,
                                        attempt_state &attempt, engine_actions &out)
@@ -389,19 +393,19 @@
     const duration elapsed = std::chrono::duration_cast<duration>(now - attempt.started);
     const bool wasOpen = pool->breaker.isOpen();
     const std::uint64_t serial = state.serial;
-    const auto change = pool->onSilent(attempt.slot, elapsed, attempt.typical, now);
+    const auto change = pool->onSilent(attempt.slot, elapsed, attempt.medianTime, now);
     logHealth(*pool, attempt.slot, change, out);
-    touch(*pool);
+    markChanged(*pool);
     if (!wasOpen && pool->breaker.isOpen())
-        failQueue(*pool, out);
-    if (findSerial(serial) == nullptr)
+        rejectQueued(*pool, out);
+    if (findRequest(serial) == nullptr)
         return;
     if (pool->breaker.isOpen()) {
         out.emplace_back(cancel_attempt{{state.request.id, index, attempt.number}, attempt.server});
         fail(state, index, attempt, attempt_failure::TimedOut, {}, out);
         return;
     }
-    tryHedge(state, index, "backend server is silent", out);
+    tryHedge(state, index, "backend server did not answer in time", out);
 }
 
 template <class Policies>
@@ -414,18 +418,18 @@
     log_decision line;
     line.kind = ejected ? decision_kind::Eject : decision_kind::Restore;
     line.chosen = pool.server(slot).id;
-    line.reason = ejected ? "failures in a row" : "a probe succeeded";
+    line.reason = ejected ? "consecutive failures" : "a probe succeeded";
     out.emplace_back(std::move(line));
 }
 
 template <class Policies>
-void engine_state<Policies>::charge(request_state &state, std::uint32_t index,
-                                    const attempt_cost &cost)
+void engine_state<Policies>::recordCost(request_state &state, std::uint32_t index,
+                                        const attempt_cost &cost)
 {
     stage_report &report = state.stages[index].report;
     report.busy += std::chrono::duration_cast<milliseconds>(cost.busy);
     report.tokens += cost.tokens;
-    m_ledger.charge(state.plan(), index, cost);
+    m_ledger.recordCost(state.plan(), index, cost);
 }
 
 } // namespace orchidlead
--- a/src/core/requests/engine_policies.h
+++ b/src/core/requests/engine_policies.h
@@ -14,8 +14,8 @@
 
 namespace orchidlead {
 
-/// The set of policies that an engine is made of. The one that the daemon runs is in
-/// default_engine_policies.h, which a program that measures another set leaves out.
+/// The set of policies of an engine. The daemon's set is in default_engine_policies.h, a separate
+/// header, so that benchmarks of other sets need not include it.
 template <class Set>
 concept engine_policy_set =
     answer_guard<typename Set::answers> && repeat_guard<typename Set::repeats> && routing_policy<typename Set::router> && concurrency_limit_policy<
@@ -27,8 +27,8 @@
                                                                                                                                                  silence> && std::
         default_initializable<typename Set::template queue<int>>;
 
-/// The plain baseline of every policy, with the same guards: round robin, no hedges or retries, no
-/// admission control, first come first served.
+/// Baseline of every policy, with the same guards: round robin, no hedges or retries, no admission
+/// control, first in first out.
 struct baseline_engine_policies
 {
     using answers = echo_guard;
--- a/src/core/requests/engine_stages_impl.h
+++ b/src/core/requests/engine_stages_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of engine_state: pools, queues, timers and the way through the stages.
+// Definitions of engine_state: pools, queues, timers and the sequence of stages.
 
 #include "core/requests/engine_constants.h"
 #include "core/requests/engine_state.h"
@@ -27,12 +27,12 @@
     for (auto &[id, pool] : m_pools) {
         if (published.count(id) == 0)
             pool->setMembers({}, m_listedLeaving, now);
-        touch(*pool);
+        markChanged(*pool);
     }
-    settle(out);
+    dispatchChangedPools(out);
     std::erase_if(m_pools, [&published](const auto &entry) {
-        const bool gone = published.count(entry.first) == 0;
-        return gone && entry.second->inFlight() == 0 && entry.second->queue.empty();
+        const bool removed = published.count(entry.first) == 0;
+        return removed && entry.second->inFlight() == 0 && entry.second->queue.empty();
     });
 }
 
@@ -43,9 +43,9 @@
     m_listedLeaving = {servers.begin(), servers.end()};
     for (auto &[id, pool] : m_pools) {
         pool->setListedLeaving(m_listedLeaving, m_clock.now());
-        touch(*pool);
+        markChanged(*pool);
     }
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
@@ -53,9 +53,9 @@
 {
     for (auto &[id, pool] : m_pools) {
         pool->onReport(report, m_clock.now());
-        touch(*pool);
+        markChanged(*pool);
     }
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
@@ -66,7 +66,7 @@
 }
 
 template <class Policies>
-request_state *engine_state<Policies>::findSerial(std::uint64_t serial)
+request_state *engine_state<Policies>::findRequest(std::uint64_t serial)
 {
     const auto request = m_requests.find(serial);
     return request == m_requests.end() ? nullptr : request->second.get();
@@ -82,69 +82,69 @@
 }
 
 template <class Policies>
-void engine_state<Policies>::startReady(request_state &state, engine_actions &out)
+void engine_state<Policies>::enqueueReadyStages(request_state &state, engine_actions &out)
 {
     for (std::uint32_t stage = 0; stage < state.stages.size(); ++stage) {
         if (state.stages[stage].status != stage_status::Waiting || !inputsDone(state, stage))
             continue;
-        state.stages[stage].ready = m_clock.now();
+        state.stages[stage].readySince = m_clock.now();
         if (!enqueue(state, stage, out))
             return;
     }
 }
 
-// Returns false when the request ended instead.
+// Returns false if the request has ended instead.
 template <class Policies>
 bool engine_state<Policies>::enqueue(request_state &state, std::uint32_t index, engine_actions &out)
 {
     stage_state &stage = state.stages[index];
     pool_type *pool = poolOf(state, index);
-    if (stage.expected && pool != nullptr)
+    if (stage.countedAsExpected && pool != nullptr)
         pool->unexpect(state.plan().customer);
-    stage.expected = false;
+    stage.countedAsExpected = false;
     if (pool == nullptr || pool->usable() == 0) {
         finishUnanswered(state,
                          {refusal_reason::NoBackendServer, "no backend server is left",
-                          spread(milliseconds{1000})},
+                          addJitter(milliseconds{1000})},
                          out);
         return false;
     }
     const steady_time now = m_clock.now();
-    const bool broken = pool->breaker.isOpen() && !state.probing;
-    if (broken && !pool->breaker.tryProbe(now)) {
+    const bool needsProbe = pool->breaker.isOpen() && !state.probing;
+    if (needsProbe && !pool->breaker.tryProbe(now)) {
         finishUnanswered(state,
                          {refusal_reason::NoBackendServer, "all backend servers fail",
-                          spread(pool->breaker.retryAfter(now))},
+                          addJitter(pool->breaker.retryAfter(now))},
                          out);
         return false;
     }
-    const bool paid = hasStarted(state);
-    if (!paid && !makeRoom(*pool, state, out)) {
+    const bool inProgress = hasStarted(state);
+    if (!inProgress && !makeQueueSpace(*pool, state, out)) {
         ++pool->refused;
         const auto lane = static_cast<std::uint32_t>(state.plan().priority);
         const duration wait = pool->queueWait(lane, pool->queue.size());
         finishUnanswered(state,
                          {refusal_reason::Overloaded, "the queue is full",
-                          spread(std::chrono::duration_cast<milliseconds>(wait))},
+                          addJitter(std::chrono::duration_cast<milliseconds>(wait))},
                          out);
         return false;
     }
-    queue_place place;
-    place.lane = static_cast<std::uint32_t>(state.plan().priority);
-    place.paid = paid;
-    place.customer = state.plan().customer;
-    place.latestStart = latestStart(state, index, paid);
+    queue_position position;
+    position.lane = static_cast<std::uint32_t>(state.plan().priority);
+    position.inProgress = inProgress;
+    position.customer = state.plan().customer;
+    position.latestStart = latestStart(state, index, inProgress);
     const double cost = 1.0 / std::max<std::uint32_t>(1, state.plan().weight);
-    stage.place = pool->queue.push({state.serial, index}, place, cost);
+    stage.position = pool->queue.push({state.serial, index}, position, cost);
     stage.status = stage_status::Queued;
-    addTimer(timer_kind::LatestStart, place.latestStart, state, index);
-    touch(*pool);
+    addTimer(timer_kind::LatestStart, position.latestStart, state, index);
+    markChanged(*pool);
     return true;
 }
 
 template <class Policies>
-bool engine_state<Policies>::makeRoom(pool_type &pool, const request_state &state,
-                                      engine_actions &out)
+bool engine_state<Policies>::makeQueueSpace(pool_type &pool, const request_state &state,
+                                            engine_actions &out)
 {
     if (pool.queue.size() < m_settings.maxQueuePerService)
         return true;
@@ -152,45 +152,45 @@
     const auto evicted = pool.queue.evictFor(lane, state.plan().customer);
     if (!evicted)
         return false;
-    request_state *other = findSerial(evicted->request);
+    request_state *other = findRequest(evicted->request);
     if (other == nullptr)
         return true;
     other->stages[evicted->stage].status = stage_status::Waiting;
     ++pool.refused;
     finishUnanswered(*other,
                      {refusal_reason::Overloaded, "made room for others in a full queue",
-                      spread(milliseconds{1000})},
+                      addJitter(milliseconds{1000})},
                      out);
     return true;
 }
 
 template <class Policies>
 steady_time engine_state<Policies>::latestStart(const request_state &state, std::uint32_t stage,
-                                                bool paid) const
+                                                bool inProgress) const
 {
     const double quantile =
-        paid ? Policies::admission::PaidWorkQuantile : Policies::admission::NewWorkQuantile;
-    const auto times = m_estimates.timesToEnd(state.plan(), state.sizeClass, quantile);
-    const duration likely = state.exploring ? duration{0} : times[stage];
-    return sendDeadline(state) - likely;
+        inProgress ? Policies::admission::InProgressQuantile : Policies::admission::NewWorkQuantile;
+    const auto times = m_estimates.remainingTimes(state.plan(), state.sizeClass, quantile);
+    const duration estimatedTime = state.exploring ? duration{0} : times[stage];
+    return sendDeadline(state) - estimatedTime;
 }
 
-// Work may end while it is handed out, which frees capacity of other pools.
+// Requests may end during dispatch, which frees capacity in other pools.
 template <class Policies>
-void engine_state<Policies>::settle(engine_actions &out)
+void engine_state<Policies>::dispatchChangedPools(engine_actions &out)
 {
-    while (!m_touched.empty()) {
-        pool_type *pool = m_touched.back();
-        m_touched.pop_back();
-        pump(*pool, out);
+    while (!m_changedPools.empty()) {
+        pool_type *pool = m_changedPools.back();
+        m_changedPools.pop_back();
+        dispatchQueued(*pool, out);
     }
 }
 
 template <class Policies>
-void engine_state<Policies>::pump(pool_type &pool, engine_actions &out)
+void engine_state<Policies>::dispatchQueued(pool_type &pool, engine_actions &out)
 {
     if (pool.usable() == 0 && !pool.queue.empty()) {
-        failQueue(pool, out);
+        rejectQueued(pool, out);
         return;
     }
     while (pool.hasAvailable()) {
@@ -205,18 +205,19 @@
 void engine_state<Policies>::startQueued(pool_type &pool, const queued_stage &item,
                                          engine_actions &out)
 {
-    request_state *state = findSerial(item.request);
+    request_state *state = findRequest(item.request);
     if (state == nullptr)
         return;
     const steady_time now = m_clock.now();
     stage_state &stage = state->stages[item.stage];
-    // The estimate may have grown since the stage was queued.
-    const auto likely = sendDeadline(*state) - latestStart(*state, item.stage, stage.place.paid);
+    // The estimate may have increased since the stage was queued.
+    const auto estimatedTime =
+        sendDeadline(*state) - latestStart(*state, item.stage, stage.position.inProgress);
     admission_view view;
     view.remaining = std::chrono::duration_cast<duration>(sendDeadline(*state) - now);
-    view.likely = std::chrono::duration_cast<duration>(likely);
+    view.estimatedTime = std::chrono::duration_cast<duration>(estimatedTime);
     if (view.remaining.count() <= 0 || !m_admission.worthStarting(view)) {
-        giveUpQueued(*state, item.stage, out);
+        shedQueued(*state, item.stage, out);
         return;
     }
     auto choice = route(pool, *state, item.stage, true);
@@ -224,38 +225,38 @@
         choice = route(pool, *state, item.stage, false);
     if (!choice)
         return;
-    const auto waited = std::chrono::duration<double, std::milli>(now - stage.ready).count();
-    pool.onStarted(stage.place.lane, now);
+    const auto waited = std::chrono::duration<double, std::milli>(now - stage.readySince).count();
+    pool.onStarted(stage.position.lane, now);
     pool.smoothedQueueWait += (waited - pool.smoothedQueueWait) * pool_constants::WaitWeight;
     dispatch(pool, *state, item.stage, *choice, false, out);
 }
 
 template <class Policies>
-void engine_state<Policies>::giveUpQueued(request_state &state, std::uint32_t stage,
-                                          engine_actions &out)
+void engine_state<Policies>::shedQueued(request_state &state, std::uint32_t stage,
+                                        engine_actions &out)
 {
     std::optional<milliseconds> retryAfter;
     if (pool_type *pool = poolOf(state, stage)) {
         ++pool->refused;
         const auto lane = static_cast<std::uint32_t>(state.plan().priority);
         const duration wait = pool->queueWait(lane, pool->queue.size());
-        retryAfter = spread(std::chrono::duration_cast<milliseconds>(wait));
+        retryAfter = addJitter(std::chrono::duration_cast<milliseconds>(wait));
     }
     finishUnanswered(
         state, {refusal_reason::Overloaded, "waited too long to be on time", retryAfter}, out);
 }
 
 template <class Policies>
-void engine_state<Policies>::failQueue(pool_type &pool, engine_actions &out)
+void engine_state<Policies>::rejectQueued(pool_type &pool, engine_actions &out)
 {
     while (const auto item = pool.queue.pop()) {
-        request_state *state = findSerial(item->request);
+        request_state *state = findRequest(item->request);
         if (state == nullptr)
             continue;
         ++pool.refused;
         finishUnanswered(*state,
                          {refusal_reason::NoBackendServer, "all backend servers fail or leave",
-                          spread(milliseconds{1000})},
+                          addJitter(milliseconds{1000})},
                          out);
     }
 }
@@ -286,18 +287,18 @@
     for (auto &[id, pool] : m_pools) {
         if (pool->nextWake() && *pool->nextWake() <= now) {
             pool->onWake(now);
-            touch(*pool);
+            markChanged(*pool);
         }
     }
-    while (const auto timer = m_timers.takeDue(now))
+    while (const auto timer = m_timers.popDue(now))
         onTimer(*timer, out);
-    settle(out);
+    dispatchChangedPools(out);
 }
 
 template <class Policies>
 void engine_state<Policies>::onTimer(const engine_timer &timer, engine_actions &out)
 {
-    request_state *state = findSerial(timer.request);
+    request_state *state = findRequest(timer.request);
     if (state == nullptr)
         return;
     stage_state &stage = state->stages[timer.stage];
@@ -307,8 +308,8 @@
         finishUnanswered(*state, {refusal_reason::DeadlinePassed, "the deadline passed", {}}, out);
         return;
     case timer_kind::LatestStart:
-        if (stage.status == stage_status::Queued && stage.place.latestStart <= m_clock.now())
-            giveUpQueued(*state, timer.stage, out);
+        if (stage.status == stage_status::Queued && stage.position.latestStart <= m_clock.now())
+            shedQueued(*state, timer.stage, out);
         return;
     case timer_kind::AttemptTimeout:
         if (attempt != nullptr) {
@@ -319,10 +320,10 @@
         return;
     case timer_kind::Hedge:
         if (attempt != nullptr)
-            tryHedge(*state, timer.stage, "late and little slack", out);
+            tryHedge(*state, timer.stage, "attempt is late and has little slack", out);
         return;
     case timer_kind::Retry:
-        if (stage.status == stage_status::Pausing)
+        if (stage.status == stage_status::BackingOff)
             (void)enqueue(*state, timer.stage, out);
         return;
     case timer_kind::Silence:
--- a/src/core/requests/engine_state.h
+++ b/src/core/requests/engine_state.h
@@ -23,10 +23,10 @@
 
 namespace orchidlead {
 
-/// The state machine behind basic_request_engine.
+/// Implementation of basic_request_engine.
 ///
-/// Event functions end with `settle`, which hands freed capacity to waiting work; `finish` forgets
-/// a request, so nothing of it may be touched afterwards.
+/// Event functions end with `dispatchChangedPools`, which assigns freed capacity to queued work.
+/// `finish` destroys the state of a request: no reference to it may be used afterwards.
 template <class Policies>
 class engine_state
 {
@@ -37,7 +37,7 @@
         : m_settings(settings)
         , m_clock(clock)
         , m_random(seed)
-        , m_ledger(settings.maxCustomersCounted)
+        , m_ledger(settings.maxCustomerStats)
     { }
 
     void setServices(const std::vector<service> &services, engine_actions &out);
@@ -60,7 +60,7 @@
     using pool_type = service_pool<Policies>;
     using duration = std::chrono::microseconds;
 
-    /// A refusal, before it is worded for the caller.
+    /// Reason why a request ends without an answer.
     struct refusal
     {
         refusal_reason reason = refusal_reason::None;
@@ -68,7 +68,7 @@
         std::optional<milliseconds> retryAfter;
     };
 
-    /// One attempt that an event names, if it is still live.
+    /// The live attempt that an event refers to, if there is one.
     struct live_attempt
     {
         request_state *state = nullptr;
@@ -77,26 +77,27 @@
     };
 
     // Admission.
-    [[nodiscard]] std::optional<refusal> refuse(request_state &state);
-    [[nodiscard]] std::optional<refusal> refuseByPools(request_state &state);
-    [[nodiscard]] std::optional<refusal> refuseByTime(request_state &state);
+    [[nodiscard]] std::optional<refusal> checkAdmission(request_state &state);
+    [[nodiscard]] std::optional<refusal> checkPools(request_state &state);
+    [[nodiscard]] std::optional<refusal> checkDeadline(request_state &state);
     [[nodiscard]] duration longestQueueWait(const request_state &state);
     [[nodiscard]] bool isUnderShare(const customer_id &customer) const;
-    void countClosed(const customer_id &customer);
-    void refuseNow(const request_state &state, const refusal &why, engine_actions &out);
+    void onRequestClosed(const customer_id &customer);
+    void deliverRefusal(const request_state &state, const refusal &why, engine_actions &out);
 
     // Stages.
-    void startReady(request_state &state, engine_actions &out);
+    void enqueueReadyStages(request_state &state, engine_actions &out);
     [[nodiscard]] bool inputsDone(const request_state &state, std::uint32_t stage) const;
     [[nodiscard]] bool enqueue(request_state &state, std::uint32_t stage, engine_actions &out);
-    [[nodiscard]] bool makeRoom(pool_type &pool, const request_state &state, engine_actions &out);
+    [[nodiscard]] bool makeQueueSpace(pool_type &pool, const request_state &state,
+                                      engine_actions &out);
     [[nodiscard]] steady_time latestStart(const request_state &state, std::uint32_t stage,
-                                          bool paid) const;
-    void settle(engine_actions &out);
-    void pump(pool_type &pool, engine_actions &out);
+                                          bool inProgress) const;
+    void dispatchChangedPools(engine_actions &out);
+    void dispatchQueued(pool_type &pool, engine_actions &out);
     void startQueued(pool_type &pool, const queued_stage &item, engine_actions &out);
-    void failQueue(pool_type &pool, engine_actions &out);
-    void giveUpQueued(request_state &state, std::uint32_t stage, engine_actions &out);
+    void rejectQueued(pool_type &pool, engine_actions &out);
+    void shedQueued(request_state &state, std::uint32_t stage, engine_actions &out);
 
     // Attempts.
     [[nodiscard]] std::optional<routing_choice> route(pool_type &pool, const request_state &state,
@@ -104,21 +105,22 @@
     void dispatch(pool_type &pool, request_state &state, std::uint32_t stage,
                   const routing_choice &choice, bool hedge, engine_actions &out);
     void countDispatch(pool_type &pool, stage_state &stage, bool hedge);
-    void armTimers(pool_type &pool, const request_state &state, std::uint32_t stage,
-                   const attempt_state &attempt);
-    [[nodiscard]] send_attempt sendAction(pool_type &pool, const request_state &state,
-                                          std::uint32_t stage, const attempt_state &attempt) const;
+    void addAttemptTimers(pool_type &pool, const request_state &state, std::uint32_t stage,
+                          const attempt_state &attempt);
+    [[nodiscard]] send_attempt makeSendAction(pool_type &pool, const request_state &state,
+                                              std::uint32_t stage,
+                                              const attempt_state &attempt) const;
     [[nodiscard]] live_attempt find(const attempt_key &key);
-    void dropAnswer(const attempt_key &key, std::string_view why, engine_actions &out);
+    void discardEvent(const attempt_key &key, std::string_view why, engine_actions &out);
     void complete(request_state &state, std::uint32_t stage, attempt_state &attempt,
                   const attempt_answer &answer, engine_actions &out);
     void fail(request_state &state, std::uint32_t stage, attempt_state &attempt,
               attempt_failure failure, std::optional<milliseconds> retryAfter, engine_actions &out);
     void retryOrFinish(request_state &state, std::uint32_t stage, const attempt_end &end,
                        std::optional<milliseconds> retryAfter, engine_actions &out);
-    void release(request_state &state, std::uint32_t stage, attempt_state &attempt, bool outrun,
-                 std::string_view why, engine_actions &out);
-    void releaseOthers(request_state &state, std::uint32_t stage, std::uint32_t winner,
+    void abandon(request_state &state, std::uint32_t stage, attempt_state &attempt,
+                 bool countLatency, std::string_view why, engine_actions &out);
+    void abandonOthers(request_state &state, std::uint32_t stage, std::uint32_t winner,
                        std::string_view why, engine_actions &out);
     void tryHedge(request_state &state, std::uint32_t stage, std::string_view why,
                   engine_actions &out);
@@ -130,27 +132,27 @@
     void addTimer(timer_kind kind, steady_time at, const request_state &state,
                   std::uint32_t stage = 0, std::uint32_t attempt = 0);
 
-    // Ends.
+    // Final answers.
     void finish(request_state &state, outcome result, const refusal &why, engine_actions &out);
     void finishUnanswered(request_state &state, const refusal &why, engine_actions &out);
-    [[nodiscard]] std::vector<stage_report> reports(const request_state &state) const;
+    [[nodiscard]] std::vector<stage_report> stageReports(const request_state &state) const;
 
-    // Logs and accounts.
+    // Logging and accounting.
     void log(decision_kind kind, const request_state &state, std::uint32_t stage,
              std::uint32_t attempt, std::string reason, engine_actions &out,
              const backend_server_id &chosen = {});
     void logHealth(const pool_type &pool, std::uint32_t slot, health_change change,
                    engine_actions &out);
-    void charge(request_state &state, std::uint32_t stage, const attempt_cost &cost);
+    void recordCost(request_state &state, std::uint32_t stage, const attempt_cost &cost);
 
     [[nodiscard]] pool_type *poolOf(const request_state &state, std::uint32_t stage);
-    [[nodiscard]] request_state *findSerial(std::uint64_t serial);
+    [[nodiscard]] request_state *findRequest(std::uint64_t serial);
     [[nodiscard]] steady_time sendDeadline(const request_state &state) const
     {
         return state.request.deadline - m_settings.hopMargin;
     }
-    void touch(pool_type &pool) { m_touched.push_back(&pool); }
-    [[nodiscard]] milliseconds spread(milliseconds wait);
+    void markChanged(pool_type &pool) { m_changedPools.push_back(&pool); }
+    [[nodiscard]] milliseconds addJitter(milliseconds wait);
 
     engine_settings m_settings;
     const clock_source &m_clock;
@@ -164,12 +166,12 @@
     std::map<service_id, std::unique_ptr<pool_type>> m_pools;
     std::unordered_map<std::uint64_t, std::unique_ptr<request_state>> m_requests; ///< by serial
     std::unordered_map<request_id, std::uint64_t> m_serials;
-    std::unordered_map<customer_id, std::uint32_t> m_openOf; ///< open requests
-    /// Also names servers that no pool has now: they may be published again while they leave.
+    std::unordered_map<customer_id, std::uint32_t> m_openRequestsOf; ///< by customer
+    /// Includes servers that are in no pool: they may be published again while they are leaving.
     std::unordered_set<backend_server_id> m_listedLeaving;
-    std::vector<pool_type *> m_touched; ///< may have work to hand out
+    std::vector<pool_type *> m_changedPools; ///< may be able to dispatch queued work
     std::uint64_t m_lastSerial = 0;
-    std::uint64_t m_lateRefusals = 0;
+    std::uint64_t m_deadlineRefusals = 0;
     std::uint64_t m_droppedAnswers = 0;
     bool m_draining = false;
 };
--- a/src/core/requests/engine_stats.h
+++ b/src/core/requests/engine_stats.h
@@ -9,19 +9,19 @@
 #include <cstdint>
 #include <vector>
 
-/// Read-only views of the request engine, for the operator API and the metrics.
+/// Statistics of the request engine, for the operator API and the metrics.
 namespace orchidlead {
 
 /// Busy time and tokens of backend servers.
 struct stage_cost
 {
     std::uint64_t attempts = 0;
-    milliseconds busy{0}; ///< all attempts, lost ones included
-    milliseconds lostBusy{0}; ///< the part of `busy` whose result wasn't used
+    milliseconds busy{0}; ///< of all attempts
+    milliseconds lostBusy{0}; ///< of attempts whose result was not used
     std::uint64_t tokens = 0;
 };
 
-/// What became of the requests of a pipeline, a customer or all.
+/// Counts of requests by outcome, of a customer or of all customers.
 struct outcome_counts
 {
     std::uint64_t submitted = 0;
@@ -29,7 +29,7 @@
     std::uint64_t attained = 0; ///< answered within the deadline
 };
 
-/// One pool of backend servers, as the stages that use it see it.
+/// One pool of backend servers.
 struct service_stats
 {
     service_id service;
@@ -58,7 +58,7 @@
 
 enum class server_state {
     Usable,
-    Suspected, ///< ejected: gets no work until its probe
+    Suspected, ///< ejected: gets no work until it is probed
     Probing,
     Leaving,
 };
@@ -85,7 +85,7 @@
     std::uint64_t failures = 0;
 };
 
-/// One customer; only the busiest are kept apart, the others share one entry without a name.
+/// One customer. Customers beyond the limit share one entry without an id.
 struct customer_stats
 {
     customer_id customer;
@@ -93,12 +93,12 @@
     stage_cost cost;
 };
 
-/// Everything that the engine counts, at one moment.
+/// All statistics of the engine at one time.
 struct engine_stats
 {
     outcome_counts outcomes;
-    std::uint64_t open = 0; ///< requests without their final answer
-    std::uint64_t droppedAnswers = 0; ///< late, doubled or foreign
+    std::uint64_t open = 0; ///< requests without a final answer
+    std::uint64_t droppedAnswers = 0; ///< late, duplicate or misdirected
     std::vector<service_stats> services;
     std::vector<pipeline_stage_stats> stages;
     std::vector<backend_server_stats> servers;
--- a/src/core/requests/engine_timers.h
+++ b/src/core/requests/engine_timers.h
@@ -11,25 +11,26 @@
 
 enum class timer_kind {
     Deadline, ///< of the request
-    LatestStart, ///< of a queued stage
+    LatestStart, ///< latest start of a queued stage
     AttemptTimeout,
     Hedge,
     Silence,
-    Retry, ///< end of the pause before another attempt
+    Retry, ///< end of the backoff before another attempt
 };
 
 struct engine_timer
 {
     steady_time at;
-    std::uint64_t sequence = 0; ///< orders timers of the same moment
+    std::uint64_t sequence = 0; ///< orders timers that are due at the same time
     timer_kind kind = timer_kind::Deadline;
     std::uint64_t request = 0;
     std::uint32_t stage = 0;
     std::uint32_t attempt = 0;
 };
 
-/// Orders what is due. Timers aren't taken back: whoever takes one out checks whether it still
-/// matters. None lies beyond its request's deadline, which bounds how many pile up.
+/// Queue of timers. Timers cannot be cancelled: the handler checks whether a due timer still
+/// applies. No timer is later than its request's deadline by more than a retry backoff, which
+/// bounds the number of obsolete ones.
 class engine_timers
 {
 public:
@@ -46,7 +47,7 @@
         return m_timers.top().at;
     }
 
-    [[nodiscard]] std::optional<engine_timer> takeDue(steady_time now)
+    [[nodiscard]] std::optional<engine_timer> popDue(steady_time now)
     {
         if (m_timers.empty() || m_timers.top().at > now)
             return std::nullopt;
--- a/src/core/requests/engine_types.h
+++ b/src/core/requests/engine_types.h
@@ -13,20 +13,20 @@
 #include <variant>
 #include <vector>
 
-/// The typed messages between the request engine (decisions) and the shell that carries them out.
+/// Messages between the request engine, which makes decisions, and the shell, which executes them.
 namespace orchidlead {
 
-/// A request that has passed the caller's interface and the at-most-once gate.
+/// A request that has passed the caller API and the at-most-once check.
 struct pipeline_request
 {
     request_id id;
     std::shared_ptr<const pipeline_plan> plan;
     payload input; ///< JSON value, as text
     steady_time deadline;
-    bool stream = false; ///< hand out the last stage's tokens as they come
+    bool stream = false; ///< deliver the last stage's tokens as they arrive
 };
 
-/// One output of an earlier stage, handed to a later one.
+/// The output of an earlier stage as input of a later one.
 struct stage_input
 {
     stage_id stage;
@@ -44,27 +44,27 @@
     socket_address address;
     payload input;
     std::vector<stage_input> previous;
-    steady_time deadline; ///< checked again by the shell immediately before the send
+    steady_time deadline; ///< checked again by the shell immediately before sending
     bool stream = false;
 };
 
-/// Action: give up an attempt; whatever still comes of it is dropped.
+/// Action: cancel an attempt. Later events of the attempt are ignored.
 struct cancel_attempt
 {
     attempt_key key;
     backend_server_id server;
 };
 
-/// What one stage did for a request; part of the caller's answer and of `orchidctl trace`.
+/// How one stage of a request ran. Part of the caller's answer and of `orchidctl trace`.
 struct stage_report
 {
     stage_id stage;
-    backend_server_id server; ///< of the attempt that counted, or of the last one
+    backend_server_id server; ///< of the attempt whose answer was used, or of the last attempt
     std::uint32_t attempts = 0;
     std::uint32_t hedges = 0;
     milliseconds queued{0};
     milliseconds elapsed{0};
-    milliseconds busy{0}; ///< cost: backend server time of all attempts, lost ones included
+    milliseconds busy{0}; ///< backend server time of all attempts
     std::uint64_t tokens = 0;
     bool finished = false;
 };
@@ -75,19 +75,19 @@
     request_id request;
     orchidlead::outcome outcome = outcome::NotRun;
     refusal_reason reason = refusal_reason::None;
-    std::string detail; ///< for people
+    std::string detail; ///< human-readable
     payload output; ///< JSON value; only with `Answered`
     std::optional<milliseconds> retryAfter;
     std::vector<stage_report> stages;
 };
 
-/// Action: tell the caller how its request ended. Exactly one for each request.
+/// Action: deliver the final answer to the caller. Exactly one for each request.
 struct deliver_answer
 {
     final_answer answer;
 };
 
-/// Action: hand a part of a streamed answer to the caller.
+/// Action: deliver a chunk of a streamed answer to the caller.
 struct deliver_chunk
 {
     request_id request;
@@ -109,7 +109,7 @@
     enum_name<decision_kind>{decision_kind::Restore, "restore"},
 };
 
-/// Action: one line of the decision log.
+/// Action: write a line to the decision log.
 struct log_decision
 {
     decision_kind kind = decision_kind::Route;
@@ -125,18 +125,18 @@
 using engine_action =
     std::variant<send_attempt, cancel_attempt, deliver_answer, deliver_chunk, log_decision>;
 
-/// The actions that one event led to, in order.
+/// The actions that result from one event, in order.
 using engine_actions = std::vector<engine_action>;
 
 /// How an attempt ended without a usable answer.
 enum class attempt_failure {
-    NotSent, ///< no byte left this process: connection refused or the pre-send check failed
-    Refused, ///< the backend server said that it didn't run it (HTTP 429 or 503)
-    Leaving, ///< as `Refused`, and the server says that it is leaving
-    Broken, ///< bytes left, and no whole answer came back
+    NotSent, ///< no byte was sent: connection refused, or the check before sending failed
+    Refused, ///< the backend server reported that the call was not run (HTTP 429 or 503)
+    Leaving, ///< as `Refused`, and the server reported that it is leaving
+    Broken, ///< bytes were sent, but no complete answer was received
     TimedOut,
-    BadAnswer, ///< malformed, or names another request
-    ServerError, ///< HTTP 4xx or 5xx other than the above: it may have run
+    BadAnswer, ///< malformed, or belongs to another request
+    ServerError, ///< any other HTTP 4xx or 5xx; the call may have run
 };
 
 template <>
@@ -150,17 +150,17 @@
     enum_name<attempt_failure>{attempt_failure::ServerError, "server_error"},
 };
 
-/// Event: an attempt's whole answer arrived. `echoed` is what the answer itself says it is for.
+/// Event: the complete answer to an attempt arrived. `echoed` is the key stated in the answer.
 struct attempt_answer
 {
     attempt_key key;
     attempt_key echoed;
     payload output; ///< JSON value
     std::uint64_t tokens = 0;
-    milliseconds busy{0}; ///< backend server time, as it says itself; 0: it doesn't
+    milliseconds busy{0}; ///< as reported by the backend server; 0 if not reported
 };
 
-/// Event: a backend server's own load report; lags.
+/// Event: a load report of a backend server. It lags behind the actual load.
 struct load_report
 {
     backend_server_id server;
--- a/src/core/requests/hedging.h
+++ b/src/core/requests/hedging.h
@@ -7,55 +7,58 @@
 
 namespace orchidlead {
 
-/// What is known when an attempt starts.
+/// Inputs of the hedging decision, which is made when an attempt starts.
 struct hedge_view
 {
-    std::chrono::microseconds typical{0}; ///< median time of such an attempt; 0: unknown
-    std::chrono::microseconds late{0}; ///< 95th percentile
-    std::chrono::microseconds slack{0}; ///< time for this stage if the later ones take their usual
+    std::chrono::microseconds median{0}; ///< of the time of similar attempts; 0: unknown
+    std::chrono::microseconds p95{0}; ///< of the time of similar attempts
+    /// Time until the deadline minus the median times of the later stages.
+    std::chrono::microseconds slack{0};
 };
 
-/// When a second attempt is started beside the first.
+/// Decides how long after the start of an attempt to start a second one in parallel. No hedge if
+/// there is no delay.
 template <class Policy>
 concept hedging_policy = std::default_initializable<Policy> && requires(const Policy &policy,
                                                                         const hedge_view &view)
 {
     {
-        policy.after(view)
+        policy.hedgeDelay(view)
         } -> std::same_as<std::optional<std::chrono::microseconds>>;
 };
 
-/// Hedges when the attempt is later than most, and the slack that is left is what a second one
-/// needs: before that moment waiting costs nothing.
+/// Hedges when the attempt takes longer than the 95th percentile and the remaining slack is just
+/// enough for a second attempt. Waiting until then does not endanger the deadline.
 struct slack_hedging
 {
-    [[nodiscard]] std::optional<std::chrono::microseconds> after(const hedge_view &view) const
+    [[nodiscard]] std::optional<std::chrono::microseconds> hedgeDelay(const hedge_view &view) const
     {
-        if (view.typical.count() == 0)
+        if (view.median.count() == 0)
             return std::nullopt;
-        const auto lastMoment = view.slack - SecondTry * view.typical;
-        return std::max(view.late, lastMoment);
+        const auto latestDelay = view.slack - ReservedMedians * view.median;
+        return std::max(view.p95, latestDelay);
     }
 
 private:
-    static constexpr int SecondTry = 2; ///< of the typical time, kept for the second attempt
+    /// Time reserved for the second attempt, in median attempt times.
+    static constexpr int ReservedMedians = 2;
 };
 
-/// Hedges whatever is later than most, however much slack there is.
+/// Hedges at the 95th percentile, regardless of the slack.
 struct quantile_hedging
 {
-    [[nodiscard]] std::optional<std::chrono::microseconds> after(const hedge_view &view) const
+    [[nodiscard]] std::optional<std::chrono::microseconds> hedgeDelay(const hedge_view &view) const
     {
-        if (view.typical.count() == 0)
+        if (view.median.count() == 0)
             return std::nullopt;
-        return view.late;
+        return view.p95;
     }
 };
 
-/// Baseline: never a second attempt.
+/// Baseline: no hedging.
 struct no_hedging
 {
-    [[nodiscard]] std::optional<std::chrono::microseconds> after(const hedge_view &) const
+    [[nodiscard]] std::optional<std::chrono::microseconds> hedgeDelay(const hedge_view &) const
     {
         return std::nullopt;
     }
--- a/src/core/requests/latency_histogram.cpp
+++ b/src/core/requests/latency_histogram.cpp
@@ -6,32 +6,32 @@
 namespace orchidlead {
 
 namespace {
-constexpr double SmallestMicroseconds = 64.0;
+constexpr double SmallestBucketUs = 64.0;
 }
 
 std::size_t latency_histogram::bucketOf(duration value)
 {
-    const double ratio = static_cast<double>(value.count()) / SmallestMicroseconds;
+    const double ratio = static_cast<double>(value.count()) / SmallestBucketUs;
     if (ratio <= 1.0)
         return 0;
     const auto bucket = static_cast<std::size_t>(std::log2(ratio) * BucketsPerOctave);
     return std::min(bucket, Buckets - 1);
 }
 
-latency_histogram::duration latency_histogram::middleOf(std::size_t bucket)
+latency_histogram::duration latency_histogram::midpointOf(std::size_t bucket)
 {
     const double octaves = (static_cast<double>(bucket) + 0.5) / BucketsPerOctave;
-    return duration{static_cast<std::int64_t>(SmallestMicroseconds * std::exp2(octaves))};
+    return duration{static_cast<std::int64_t>(SmallestBucketUs * std::exp2(octaves))};
 }
 
 void latency_histogram::observe(duration value)
 {
     ++m_counts[bucketOf(value)];
     if (++m_weight >= MaxWeight)
-        halve();
+        halveCounts();
 }
 
-void latency_histogram::halve()
+void latency_histogram::halveCounts()
 {
     m_weight = 0;
     for (auto &count : m_counts) {
@@ -50,9 +50,9 @@
     for (std::size_t bucket = 0; bucket < Buckets; ++bucket) {
         seen += m_counts[bucket];
         if (seen >= rank)
-            return middleOf(bucket);
+            return midpointOf(bucket);
     }
-    return middleOf(Buckets - 1);
+    return midpointOf(Buckets - 1);
 }
 
 } // namespace orchidlead
--- a/src/core/requests/recent_requests.cpp
+++ b/src/core/requests/recent_requests.cpp
@@ -49,7 +49,7 @@
     if (found == m_traces.end())
         return;
     found->second.answer = answer;
-    // Outputs may be large; the trace is about the way, not the goods.
+    // Outputs may be large and are not part of the trace.
     found->second.answer->output.reset();
 }
 
--- a/src/core/requests/recent_requests.h
+++ b/src/core/requests/recent_requests.h
@@ -13,10 +13,10 @@
 
 namespace orchidlead {
 
-/// One decision that was made for a request.
+/// One decision of the engine about a request.
 struct traced_decision
 {
-    milliseconds at{0}; ///< since the request was read
+    milliseconds at{0}; ///< since the start of the trace
     log_decision decision;
 };
 
@@ -27,23 +27,23 @@
     customer_id customer;
     pipeline_id pipeline;
     steady_time started;
-    std::optional<final_answer> answer; ///< without its output; absent while it runs
+    std::optional<final_answer> answer; ///< without output; absent while the request is open
     std::vector<traced_decision> decisions;
-    std::size_t droppedDecisions = 0; ///< beyond the bound
+    std::size_t droppedDecisions = 0; ///< decisions beyond the limit
 };
 
-/// Keeps the traces of the last requests; bounded.
+/// Traces of the most recent requests.
 class recent_requests
 {
 public:
     recent_requests(std::size_t capacity, const clock_source &clock);
 
-    /// Starts a trace; the oldest one makes room.
+    /// Starts a trace. Evicts the oldest trace if the capacity is reached.
     void begin(const request_id &request, const customer_id &customer, const pipeline_id &pipeline);
     void addDecision(const log_decision &decision);
     void end(const final_answer &answer);
 
-    /// Finds a trace, or returns null.
+    /// Returns the trace of a request, or null if there is none.
     [[nodiscard]] const request_trace *find(const request_id &request) const;
 
 private:
--- a/src/core/requests/request_engine.h
+++ b/src/core/requests/request_engine.h
@@ -16,16 +16,16 @@
 
 namespace orchidlead {
 
-/// Bounds and tunables of the request engine.
+/// Limits and tunables of the request engine.
 struct engine_settings
 {
-    data_center_id dataCenter; ///< own; its backend servers are preferred
+    data_center_id dataCenter; ///< of this node; its backend servers are preferred
     std::uint32_t maxOpenRequests = 20'000;
     std::uint32_t maxQueuePerService = 2'000;
-    std::uint32_t maxAttemptsPerStage = 8; ///< refused ones included
-    milliseconds retryPause{10}; ///< before the second attempt; doubles with each further one
-    milliseconds hopMargin{10}; ///< taken off the deadline at each send, for the way back
-    std::uint32_t maxCustomersCounted = 256;
+    std::uint32_t maxAttemptsPerStage = 8; ///< including refused attempts
+    milliseconds retryBackoff{10}; ///< before the second attempt; doubles with each further one
+    milliseconds hopMargin{10}; ///< subtracted from the deadline, for the return of the answer
+    std::uint32_t maxCustomerStats = 256;
     routing_settings routing;
     failure_detector_settings detection;
 };
@@ -35,10 +35,11 @@
 template <class Policies>
 class engine_state;
 
-/// Takes requests through their stages: admission, queueing, routing, retries, hedges and the one
-/// final answer. Deterministic: events and the time go in, actions come out.
+/// Runs requests through their stages: admission, queueing, routing, retries, hedges and the final
+/// answer. A deterministic state machine: its inputs are events and the time, its outputs are
+/// actions.
 ///
-/// Every event function appends to `out`; the shell carries the actions out in order.
+/// Event functions append actions to `out`. The shell executes them in order.
 template <class Policies>
 class basic_request_engine
 {
@@ -49,41 +50,41 @@
     basic_request_engine(const basic_request_engine &) = delete;
     basic_request_engine &operator=(const basic_request_engine &) = delete;
 
-    /// Replaces the pools. Servers that vanished get no new work; requests keep their plan.
+    /// Replaces the pools. Removed servers get no new work. Open requests keep their plan.
     void setServices(std::uint64_t version, const std::vector<service> &services,
                      engine_actions &out);
 
-    /// Names all backend servers that the platform lists as leaving; they get no new work.
+    /// Sets all backend servers that the platform lists as leaving. They get no new work.
     void setListedLeaving(const std::vector<backend_server_id> &servers, engine_actions &out);
 
     void onLoadReport(const load_report &report, engine_actions &out);
 
-    /// Starts a request or refuses it at once. The id must be new.
+    /// Admits or refuses a request. The id must be unique.
     void submit(pipeline_request request, engine_actions &out);
 
-    /// Tells that the first byte of an attempt may have left this process.
+    /// Records that the first byte of an attempt may have been sent.
     void onSent(const attempt_key &key);
 
-    /// Takes one streamed part of an attempt's answer.
+    /// Handles one chunk of an attempt's streamed answer.
     void onChunk(const attempt_key &key, std::string text, engine_actions &out);
 
-    /// Takes the whole answer of an attempt.
+    /// Handles the complete answer to an attempt.
     void onAnswer(const attempt_answer &answer, engine_actions &out);
 
-    /// Takes the end of an attempt without a usable answer.
+    /// Handles the end of an attempt without a usable answer.
     void onFailure(const attempt_key &key, attempt_failure failure,
                    std::optional<milliseconds> retryAfter, engine_actions &out);
 
-    /// Ends a request whose caller went away. Its final answer still comes out.
+    /// Ends a request whose caller has disconnected. The final answer is still delivered.
     void cancel(const request_id &request, engine_actions &out);
 
-    /// Does what is due; call it at `nextWake` or later, earlier does no harm.
+    /// Handles due timers. To be called at `nextWake`; earlier calls have no effect.
     void tick(engine_actions &out);
     [[nodiscard]] std::optional<steady_time> nextWake() const;
 
-    /// Refuses new requests from now on; those in flight are finished.
+    /// Refuses new requests from now on. Open requests are finished.
     void drain();
-    [[nodiscard]] bool idle() const; ///< no request is open
+    [[nodiscard]] bool idle() const; ///< whether no request is open
 
     [[nodiscard]] engine_stats stats() const;
 
@@ -91,8 +92,8 @@
     std::unique_ptr<engine_state<Policies>> m_state;
 };
 
-/// The engine that the daemon runs; instantiated in request_engine.cpp. Engines with other policies
-/// need core/request_engine_impl.h.
+/// The daemon's engine, instantiated in request_engine.cpp. Engines with other policies need
+/// core/requests/request_engine_impl.h.
 extern template class basic_request_engine<default_engine_policies>;
 using request_engine = basic_request_engine<default_engine_policies>;
 
--- a/src/core/requests/request_engine_impl.h
+++ b/src/core/requests/request_engine_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of the request engine, whose behaviour varies with its policies.
+// Definitions of basic_request_engine.
 
 #include "core/requests/engine_admission_impl.h"
 #include "core/requests/engine_attempts_impl.h"
--- a/src/core/requests/request_state.cpp
+++ b/src/core/requests/request_state.cpp
@@ -4,15 +4,15 @@
 
 namespace orchidlead {
 
-// An attempt that is still out counts as run: that it wasn't could only be proved later, and the
-// answer is due now.
-outcome provenOutcome(const request_state &state, bool deadlinePassed)
+// A live attempt counts as possibly run: a proof that it did not run could only arrive after the
+// answer.
+outcome outcomeWithoutAnswer(const request_state &state, bool deadlinePassed)
 {
     bool mayHaveRun = false;
     for (std::size_t index = 0; index < state.stages.size(); ++index) {
         const stage_state &stage = state.stages[index];
         const bool done = stage.status == stage_status::Done;
-        const bool open = stage.unproven || liveAttempts(stage) > 0;
+        const bool open = stage.attemptMayHaveRun || liveAttempts(stage) > 0;
         if (!done && open && !state.plan().stages[index].repeatable)
             return outcome::Unknown;
         mayHaveRun = mayHaveRun || done || open;
--- a/src/core/requests/request_state.h
+++ b/src/core/requests/request_state.h
@@ -9,14 +9,14 @@
 #include <cstdint>
 #include <vector>
 
-/// The engine's memory of one open request.
+/// State of one open request.
 namespace orchidlead {
 
 enum class stage_status {
     Waiting, ///< for its inputs
     Queued,
-    Running, ///< at least one attempt is out
-    Pausing, ///< before another attempt
+    Running, ///< at least one attempt is live
+    BackingOff, ///< before another attempt
     Done,
 };
 
@@ -26,22 +26,24 @@
     std::uint32_t slot = 0; ///< in the service's pool
     backend_server_id server;
     steady_time started;
-    std::chrono::microseconds typical{0}; ///< median time expected when it started
+    std::chrono::microseconds medianTime{0}; ///< of similar attempts, when this one started
     bool hedge = false;
-    bool sent = false; ///< a byte may have left
+    bool sent = false; ///< a byte may have been sent
     bool live = true;
 };
 
 struct stage_state
 {
     stage_status status = stage_status::Waiting;
-    std::vector<attempt_state> attempts; ///< bounded by the settings
-    queue_place place; ///< while queued
-    steady_time ready; ///< when it was queued first
+    std::vector<attempt_state> attempts; ///< bounded by `engine_settings::maxAttemptsPerStage`
+    queue_position position; ///< while queued
+    steady_time readySince; ///< when all inputs were available
     payload output;
-    bool expected = true; ///< by its pool, until it is queued first
-    bool unproven = false; ///< an ended attempt may have run
-    std::uint32_t streamOwner = 0; ///< the attempt whose parts the caller gets; 0: none yet
+    /// Whether the pool counts the stage as expected; until the stage is queued for the first time.
+    bool countedAsExpected = true;
+    bool attemptMayHaveRun = false; ///< whether an ended attempt may have run
+    /// Number of the attempt whose chunks are delivered; 0: none.
+    std::uint32_t streamingAttempt = 0;
     stage_report report;
 };
 
@@ -52,21 +54,21 @@
     std::uint32_t sizeClass = 0;
     std::uint64_t prefixHash = 0;
     steady_time submitted;
-    bool exploring = false; ///< let in although it is likely late, to learn stage times again
-    bool probing = false; ///< let in to see how a broken pool is
+    bool exploring = false; ///< admitted despite the estimates, to update them
+    bool probing = false; ///< admitted to probe a pool whose circuit breaker is open
     std::vector<stage_state> stages;
 
     [[nodiscard]] const pipeline_plan &plan() const { return *request.plan; }
 };
 
-/// How a request that has no answer ends, by what its history proves.
-[[nodiscard]] outcome provenOutcome(const request_state &state, bool deadlinePassed);
+/// Returns the outcome of a request that ends without an answer, from what its attempts prove.
+[[nodiscard]] outcome outcomeWithoutAnswer(const request_state &state, bool deadlinePassed);
 
-/// Finds a live attempt of a stage; null where there is none of that number.
+/// Returns the live attempt with this number, or null if there is none.
 [[nodiscard]] attempt_state *liveAttempt(stage_state &stage, std::uint32_t number);
 [[nodiscard]] std::uint32_t liveAttempts(const stage_state &stage);
 
-/// Tells whether any attempt was made or any stage finished.
+/// Whether any attempt was made or any stage finished.
 [[nodiscard]] bool hasStarted(const request_state &state);
 [[nodiscard]] bool isFinished(const request_state &state);
 
--- a/src/core/requests/stage_estimates.cpp
+++ b/src/core/requests/stage_estimates.cpp
@@ -13,14 +13,14 @@
 constexpr std::uint64_t SizeClassBits = 3;
 } // namespace
 
-// Each class is four times as large as the one before.
+// Each class covers sizes four times as large as the class before it.
 std::uint32_t inputSizeClass(std::size_t bytes)
 {
     const auto doublings = static_cast<std::uint32_t>(std::bit_width(bytes / SmallestClassBytes));
     return std::min((doublings + 1) / 2, SizeClasses - 1);
 }
 
-// A collision of two 64-bit keys would blur two estimates, nothing more.
+// A collision of two 64-bit keys would only merge two estimates.
 std::uint64_t stage_estimates::cellKey(const pipeline_plan &plan, std::uint32_t stage,
                                        std::uint32_t sizeClass)
 {
@@ -52,8 +52,9 @@
     return duration{0};
 }
 
-std::vector<stage_estimates::duration>
-stage_estimates::timesToEnd(const pipeline_plan &plan, std::uint32_t sizeClass, double wanted) const
+std::vector<stage_estimates::duration> stage_estimates::remainingTimes(const pipeline_plan &plan,
+                                                                       std::uint32_t sizeClass,
+                                                                       double wanted) const
 {
     std::vector<duration> times(plan.stages.size());
     for (std::size_t stage = plan.stages.size(); stage-- > 0;) {
--- a/src/core/requests/stage_estimates.h
+++ b/src/core/requests/stage_estimates.h
@@ -11,12 +11,12 @@
 
 namespace orchidlead {
 
-/// Class of a request's input size; a long archive and a chat line take different times.
+/// Returns the size class of an input. Stage times depend on the size of the input.
 [[nodiscard]] std::uint32_t inputSizeClass(std::size_t bytes);
 
-/// Quantiles of stage times, seen by this node: by pipeline, stage and input size class, and by
-/// service alone where that cell has seen too little. Bounded: cells beyond the bound share the
-/// service's.
+/// Quantiles of stage times observed by this node, by pipeline, stage and input size class. Where
+/// such a cell has too few observations, or would exceed the limit of cells, the quantiles of the
+/// service are used.
 class stage_estimates
 {
 public:
@@ -25,13 +25,14 @@
     void observe(const pipeline_plan &plan, std::uint32_t stage, std::uint32_t sizeClass,
                  duration elapsed);
 
-    /// Gives a quantile of one stage's time; zero where nothing is known yet.
+    /// Returns a quantile of a stage's time, or zero if there are too few observations.
     [[nodiscard]] duration quantile(const pipeline_plan &plan, std::uint32_t stage,
                                     std::uint32_t sizeClass, double quantile) const;
 
-    /// Gives, for each stage, the longest way from its start to the end of the pipeline.
-    [[nodiscard]] std::vector<duration> timesToEnd(const pipeline_plan &plan,
-                                                   std::uint32_t sizeClass, double quantile) const;
+    /// Returns, for each stage, the length of the critical path from its start to the end of the
+    /// pipeline.
+    [[nodiscard]] std::vector<duration>
+    remainingTimes(const pipeline_plan &plan, std::uint32_t sizeClass, double quantile) const;
 
 private:
     static constexpr std::size_t MaxCells = 2'048;
--- a/tests/core/engine_harness.h
+++ b/tests/core/engine_harness.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-/// A hand-driven engine: tests see its actions and play the backend servers.
+/// An engine under the control of a test, which sees all actions and acts as the backend servers.
 namespace orchidlead::tests {
 
 inline service makeService(const std::string &id, int servers, const std::string &dataCenter = "a")
@@ -25,7 +25,7 @@
     return made;
 }
 
-/// Adds a stage that waits for the one before it.
+/// Adds a stage whose input is the stage before it.
 inline stage_plan &addStage(pipeline_plan &plan, const std::string &service)
 {
     stage_plan stage;
@@ -54,7 +54,7 @@
 {
     manual_clock clock;
     basic_request_engine<Policies> engine;
-    engine_actions actions; ///< since the last `clear`
+    engine_actions actions; ///< not taken or cleared yet
     int requests = 0;
 
     explicit engine_harness(engine_settings settings = {})
@@ -81,7 +81,7 @@
         return id;
     }
 
-    /// Takes the actions of one kind out, in order.
+    /// Removes and returns the actions of one type, in order.
     template <class Action>
     std::vector<Action> take()
     {
@@ -117,7 +117,7 @@
         engine.tick(actions);
     }
 
-    /// Runs `count` requests of one stage through, `each` long, so that times are known.
+    /// Completes `count` one-stage requests that take `each`, so that the stage has estimates.
     void warmUp(const pipeline_plan &plan, int count, milliseconds each)
     {
         for (int round = 0; round < count; ++round) {
--- a/tests/core/engine_random_test.cpp
+++ b/tests/core/engine_random_test.cpp
@@ -1,4 +1,4 @@
-#include "core/engine_world.h"
+#include "core/engine_simulation.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -11,46 +11,46 @@
 
 namespace {
 
-constexpr std::size_t MostSteps = 10'000;
+constexpr std::size_t MaxSteps = 10'000;
 
-std::vector<world_step> stepsOf(std::uint64_t seed, std::size_t length)
+std::vector<simulation_step> stepsOf(std::uint64_t seed, std::size_t length)
 {
     random_source random(seed);
-    std::vector<world_step> steps(length);
-    for (world_step &step : steps)
-        step = static_cast<world_step>(random.next());
+    std::vector<simulation_step> steps(length);
+    for (simulation_step &step : steps)
+        step = static_cast<simulation_step>(random.next());
     return steps;
 }
 
-/// Runs fixed seeds until an invariant breaks; returns what broke.
+/// Runs fixed seeds until an invariant is violated. Returns the violation, or "nothing".
 template <class Policies>
-std::string firstBroken()
+std::string firstViolation()
 {
     constexpr std::uint64_t Seeds = 10;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        engine_world<Policies> world(seed % 2 == 0);
-        if (auto broken = world.run(stepsOf(seed, MostSteps)))
-            return *broken;
+        engine_simulation<Policies> simulation(seed % 2 == 0);
+        if (auto violation = simulation.run(stepsOf(seed, MaxSteps)))
+            return *violation;
     }
     return "nothing";
 }
 
-struct any_answer
+struct accepts_any_answer
 {
     static bool accepts(const attempt_key &, const attempt_key &) { return true; }
 };
 
-struct repeats_anything : at_most_once_guard
+struct always_repeats : at_most_once_guard
 {
     static bool mayTryAgain(const stage_plan &, const attempt_end &) { return true; }
 };
 
-struct hedges_anything : at_most_once_guard
+struct always_hedges : at_most_once_guard
 {
     static bool mayHedge(const stage_plan &) { return true; }
 };
 
-struct trusts_silence : at_most_once_guard
+struct assumes_not_run : at_most_once_guard
 {
     static bool provesNotRun(const attempt_end &) { return true; }
 };
@@ -69,63 +69,63 @@
 
 } // namespace
 
-TEST_CASE("random faults break no invariant of the engine")
+TEST_CASE("random faults violate no invariant of the engine")
 {
     std::uint64_t events = 0;
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
-    std::uint64_t secondTries = 0;
-    const bool held = rc::check("every request gets its one truthful answer", [&] {
-        // The length shrinks, the seed doesn't; the two replay a failing run.
+    std::uint64_t secondAttempts = 0;
+    const bool held = rc::check("every request gets exactly one correct final answer", [&] {
+        // Only the length is shrunk. The seed and the length reproduce a failing run.
         const auto seed = *rc::gen::noShrink(rc::gen::inRange<std::uint64_t>(0, 1ULL << 40U));
-        const auto length = *rc::gen::resize(100, rc::gen::inRange<std::size_t>(1, MostSteps));
-        engine_world<default_engine_policies> world(seed % 2 == 0);
-        const auto broken = world.run(stepsOf(seed, length));
+        const auto length = *rc::gen::resize(100, rc::gen::inRange<std::size_t>(1, MaxSteps));
+        engine_simulation<default_engine_policies> simulation(seed % 2 == 0);
+        const auto violation = simulation.run(stepsOf(seed, length));
         events += length;
-        requests += world.requests();
-        answered += world.answered();
-        secondTries += world.secondTries();
-        if (broken)
-            RC_FAIL(*broken);
+        requests += simulation.requests();
+        answered += simulation.answered();
+        secondAttempts += simulation.secondAttempts();
+        if (violation)
+            RC_FAIL(*violation);
     });
     std::cout << "events " << events << ", requests " << requests << ", answered " << answered
-              << ", second tries " << secondTries << "\n";
+              << ", second attempts " << secondAttempts << "\n";
     CHECK(held);
     CHECK(events >= 300'000);
     CHECK(answered * 5 > requests);
-    CHECK(secondTries > 1'000);
+    CHECK(secondAttempts > 1'000);
 }
 
-TEST_CASE("the baseline policies keep the invariants too")
+TEST_CASE("the baseline policies violate no invariant")
 {
-    CHECK(firstBroken<baseline_engine_policies>() == "nothing");
+    CHECK(firstViolation<baseline_engine_policies>() == "nothing");
 }
 
-TEST_CASE("without the answer guard an answer reaches another request")
+TEST_CASE("without the answer guard an output reaches another request")
 {
-    CHECK_THAT((firstBroken<unguarded_policies<any_answer, at_most_once_guard>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<accepts_any_answer, at_most_once_guard>>()),
                Contains("an output reached another request"));
 }
 
-TEST_CASE("without the repeat guard a call that may not be repeated runs again")
+TEST_CASE("without the repeat guard a non-repeatable call is retried")
 {
-    CHECK_THAT((firstBroken<unguarded_policies<echo_guard, repeats_anything>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<echo_guard, always_repeats>>()),
                Contains("second attempt of a call"));
 }
 
-TEST_CASE("hedging without the guard repeats a call that may not be repeated")
+TEST_CASE("without the hedging guard a non-repeatable call is hedged")
 {
-    CHECK_THAT((firstBroken<unguarded_policies<echo_guard, hedges_anything>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<echo_guard, always_hedges>>()),
                Contains("second attempt of a call"));
 }
 
-TEST_CASE("taking silence for a proof makes not_run a lie")
+TEST_CASE("without the proof guard not_run is reported for calls that may have run")
 {
-    CHECK_THAT((firstBroken<unguarded_policies<echo_guard, trusts_silence>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<echo_guard, assumes_not_run>>()),
                Contains("not_run although"));
 }
 
-TEST_CASE("without a budget there are more second tries than a tenth of the first")
+TEST_CASE("without a retry budget there are more second attempts than the budget allows")
 {
-    CHECK_THAT(firstBroken<unbudgeted_policies>(), Contains("more tries than"));
+    CHECK_THAT(firstViolation<unbudgeted_policies>(), Contains("more attempts than"));
 }
--- a/tests/core/engine_world.h
+++ b/tests/core/engine_simulation.h
@@ -12,23 +12,22 @@
 #include <string>
 #include <vector>
 
-/// Random runs of the engine against a fake pool that keeps a history, with the invariants checked
-/// after every event.
+/// Random simulation of the engine with fake backend servers. Records all attempts and checks the
+/// invariants after every event.
 namespace orchidlead::tests {
 
-/// One random event; its kind and details are drawn from the number, so that a failing run is a
-/// list of numbers which can be shrunk and replayed.
-using world_step = std::uint32_t;
+/// Seed of one random event. A failing run is a list of seeds that can be shrunk and replayed.
+using simulation_step = std::uint32_t;
 
-/// How an attempt fared, as its backend server knows.
-enum class attempt_fate { Open, NotRun, MayHaveRun };
+/// Whether the backend server ran an attempt.
+enum class execution_state { Open, NotRun, MayHaveRun };
 
 struct attempt_record
 {
     send_attempt action;
-    attempt_fate fate = attempt_fate::Open;
+    execution_state execution = execution_state::Open;
     bool sent = false;
-    bool refused = false; ///< by the server, in so many words
+    bool refused = false; ///< explicitly, by the server
 };
 
 struct request_record
@@ -36,49 +35,49 @@
     std::shared_ptr<const pipeline_plan> plan;
     steady_time deadline;
     int answers = 0;
-    bool lost = false; ///< its node restarted
+    bool lost = false; ///< the node restarted before its answer
 };
 
 template <class Policies>
-class engine_world
+class engine_simulation
 {
 public:
-    /// `calm`: a third of the failures.
-    explicit engine_world(bool calm)
-        : m_calm(calm)
+    /// `fewFailures` reduces the rate of failures to a third.
+    explicit engine_simulation(bool fewFailures)
+        : m_fewFailures(fewFailures)
     {
         restart();
     }
 
-    /// Plays the steps and then lets all deadlines pass; returns the first broken invariant.
-    std::optional<std::string> run(const std::vector<world_step> &steps)
+    /// Applies the steps and then advances past all deadlines. Returns the first violation.
+    std::optional<std::string> run(const std::vector<simulation_step> &steps)
     {
-        for (const world_step step : steps) {
-            play(step);
-            if (m_broken)
-                return m_broken;
+        for (const simulation_step step : steps) {
+            applyStep(step);
+            if (m_violation)
+                return m_violation;
         }
         m_clock.advance(std::chrono::minutes{5});
         tick();
         checkEnd();
-        return m_broken;
+        return m_violation;
     }
 
     std::uint64_t requests() const { return m_requests.size(); }
     std::uint64_t answered() const { return m_answered; }
-    std::uint64_t secondTries() const { return m_secondTries; }
+    std::uint64_t secondAttempts() const { return m_secondAttempts; }
 
 private:
-    static constexpr std::size_t MaxGrave = 64;
+    static constexpr std::size_t MaxEndedAttempts = 64;
     static constexpr std::size_t Services = 3;
     static constexpr std::array<const char *, Services> ServiceNames{"encode", "rank", "pay"};
     static constexpr int ServersEach = 4;
 
-    void play(world_step step)
+    void applyStep(simulation_step step)
     {
         random_source random(step);
         const std::uint64_t kind = random.below(32);
-        const std::uint64_t failures = m_calm ? 1 : 3;
+        const std::uint64_t failures = m_fewFailures ? 1 : 3;
         if (kind < 5)
             submit(random);
         else if (kind < 8)
@@ -103,7 +102,7 @@
             chunk(random);
         else if (random.below(64) == 0)
             restart();
-        absorb();
+        processActions();
     }
 
     void restart()
@@ -111,15 +110,15 @@
         for (auto &[id, record] : m_requests)
             record.lost = record.lost || record.answers == 0;
         for (const attempt_key &key : m_open)
-            bury(key);
+            recordEnded(key);
         m_open.clear();
         engine_settings settings;
         settings.dataCenter = data_center_id{"a"};
         settings.maxQueuePerService = 40;
         m_engine = std::make_unique<basic_request_engine<Policies>>(settings, m_clock, 7);
         m_actions.clear();
-        m_firstTries = 0;
-        m_tries = 0;
+        m_firstAttempts = 0;
+        m_attempts = 0;
         m_unusable.clear();
         publish();
     }
@@ -151,8 +150,9 @@
     {
         auto &set = random.below(2) == 0 ? m_unlisted : m_leaving;
         const backend_server_id server = anyServer(random);
-        constexpr std::size_t MostUnusable = 3; // of each kind, so that some work gets done
-        if (set.erase(server) == 0 && set.size() < MostUnusable)
+        // For each of the two reasons, so that some requests can be answered.
+        constexpr std::size_t MaxUnusable = 3;
+        if (set.erase(server) == 0 && set.size() < MaxUnusable)
             set.insert(server);
         publish();
     }
@@ -188,20 +188,20 @@
     void tick()
     {
         m_engine->tick(m_actions);
-        absorb();
+        processActions();
         for (const auto &[id, record] : m_requests) {
             if (record.answers == 0 && !record.lost && record.deadline <= m_clock.now())
-                breakWith("request " + id.value + " is held past its deadline");
+                reportViolation("request " + id.value + " is held past its deadline");
         }
-        // Requests that have ended are kept for the checks until no attempt can name them.
+        // Ended requests are kept for the checks while late answers can refer to them.
         if (m_requests.size() > 4'000)
-            forgetEnded();
+            removeEnded();
     }
 
-    void forgetEnded()
+    void removeEnded()
     {
         std::set<request_id> named;
-        for (const attempt_key &key : m_grave)
+        for (const attempt_key &key : m_endedAttempts)
             named.insert(key.request);
         std::erase_if(m_requests, [&named](const auto &entry) {
             return (entry.second.answers > 0 || entry.second.lost) && named.count(entry.first) == 0;
@@ -223,18 +223,18 @@
         return key.request.value + "/" + std::to_string(key.stage);
     }
 
-    void end(const attempt_key &key, attempt_fate fate)
+    void end(const attempt_key &key, execution_state execution)
     {
-        m_history[key].fate = fate;
+        m_history[key].execution = execution;
         std::erase(m_open, key);
-        bury(key);
+        recordEnded(key);
     }
 
-    void bury(const attempt_key &key)
+    void recordEnded(const attempt_key &key)
     {
-        m_grave.push_back(key);
-        if (m_grave.size() > MaxGrave)
-            m_grave.erase(m_grave.begin());
+        m_endedAttempts.push_back(key);
+        if (m_endedAttempts.size() > MaxEndedAttempts)
+            m_endedAttempts.erase(m_endedAttempts.begin());
     }
 
     void deliver(const attempt_key &key, const attempt_key &echoed)
@@ -251,10 +251,10 @@
         const auto key = anyOpen(random);
         if (!key)
             return;
-        end(*key, attempt_fate::MayHaveRun);
+        end(*key, execution_state::MayHaveRun);
         deliver(*key, *key);
         if (random.below(8) == 0) {
-            absorb();
+            processActions();
             deliver(*key, *key);
         }
     }
@@ -265,15 +265,15 @@
         const auto other = anyOpen(random);
         if (!key || !other || *key == *other)
             return;
-        end(*key, attempt_fate::MayHaveRun);
+        end(*key, execution_state::MayHaveRun);
         deliver(*key, *other);
     }
 
     void answerLate(random_source &random)
     {
-        if (m_grave.empty())
+        if (m_endedAttempts.empty())
             return;
-        const attempt_key key = m_grave[random.below(m_grave.size())];
+        const attempt_key key = m_endedAttempts[random.below(m_endedAttempts.size())];
         deliver(key, key);
     }
 
@@ -297,7 +297,7 @@
         const bool proven = provesNotRun({failure, m_history[*key].sent});
         m_history[*key].refused =
             failure == attempt_failure::Refused || failure == attempt_failure::Leaving;
-        end(*key, proven ? attempt_fate::NotRun : attempt_fate::MayHaveRun);
+        end(*key, proven ? execution_state::NotRun : execution_state::MayHaveRun);
         m_engine->onFailure(*key, failure, std::nullopt, m_actions);
     }
 
@@ -321,17 +321,17 @@
         m_engine->onLoadReport(report, m_actions);
     }
 
-    void absorb()
+    void processActions()
     {
         while (!m_actions.empty()) {
             engine_actions actions;
             actions.swap(m_actions);
             for (const engine_action &action : actions)
-                absorbOne(action);
+                processAction(action);
         }
     }
 
-    void absorbOne(const engine_action &action)
+    void processAction(const engine_action &action)
     {
         if (const auto *sent = std::get_if<send_attempt>(&action))
             onSend(*sent);
@@ -355,16 +355,16 @@
             check(owner == sent.key.request.value, "an output reached another request");
         }
         const bool first = sent.key.attempt == 1;
-        m_secondTries += first ? 0 : 1;
+        m_secondAttempts += first ? 0 : 1;
         if (!first && !sent.stage.repeatable)
-            checkNoRun(sent.key.request, sent.key.stage, "a second attempt of a call");
-        m_history[sent.key] = {sent, attempt_fate::Open, false, false};
+            checkNotRun(sent.key.request, sent.key.stage, "a second attempt of a call");
+        m_history[sent.key] = {sent, execution_state::Open, false, false};
         m_open.push_back(sent.key);
-        // Only what a refusal sent back to the queue is outside the budget.
+        // Retries after a refusal need no budget.
         attempt_key before = sent.key;
         --before.attempt;
         if (first || !wasRefused(before))
-            countTry(first);
+            countAttempt(first);
     }
 
     [[nodiscard]] bool wasRefused(const attempt_key &key) const
@@ -373,32 +373,33 @@
         return record != m_history.end() && record->second.refused;
     }
 
-    void countTry(bool first)
+    void countAttempt(bool first)
     {
-        ++m_tries;
-        m_firstTries += first ? 1 : 0;
+        ++m_attempts;
+        m_firstAttempts += first ? 1 : 0;
         const double allowed =
-            1.1 * static_cast<double>(m_firstTries) + 7.0 * static_cast<double>(Services) + 1e-6;
-        check(static_cast<double>(m_tries) <= allowed, "more tries than the retry budget allows");
+            1.1 * static_cast<double>(m_firstAttempts) + 7.0 * static_cast<double>(Services) + 1e-6;
+        check(static_cast<double>(m_attempts) <= allowed,
+              "more attempts than the retry budget allows");
     }
 
-    void checkNoRun(const request_id &request, std::optional<std::uint32_t> stage,
-                    const std::string &what)
+    void checkNotRun(const request_id &request, std::optional<std::uint32_t> stage,
+                     const std::string &what)
     {
         const attempt_key from{request, stage.value_or(0), 0};
         for (auto entry = m_history.lower_bound(from); entry != m_history.end(); ++entry) {
             const attempt_key &key = entry->first;
             if (key.request != request || (stage && key.stage != *stage))
                 return;
-            check(entry->second.fate == attempt_fate::NotRun,
+            check(entry->second.execution == execution_state::NotRun,
                   what + " although " + outputOf(key) + " may have run");
         }
     }
 
     void onCancel(const cancel_attempt &cancelled)
     {
-        if (m_history[cancelled.key].fate == attempt_fate::Open)
-            end(cancelled.key, attempt_fate::MayHaveRun);
+        if (m_history[cancelled.key].execution == execution_state::Open)
+            end(cancelled.key, execution_state::MayHaveRun);
     }
 
     void onDelivered(const final_answer &answer)
@@ -407,7 +408,7 @@
         check(!record.lost, "an answer from a node that restarted");
         check(++record.answers == 1, "a second final answer for " + answer.request.value);
         if (answer.outcome == outcome::NotRun)
-            checkNoRun(answer.request, std::nullopt, "not_run");
+            checkNotRun(answer.request, std::nullopt, "not_run");
         if (answer.outcome != outcome::Answered)
             return;
         ++m_answered;
@@ -429,32 +430,32 @@
     void check(bool holds, const std::string &what)
     {
         if (!holds)
-            breakWith(what);
+            reportViolation(what);
     }
 
-    void breakWith(const std::string &what)
+    void reportViolation(const std::string &what)
     {
-        if (!m_broken)
-            m_broken = what;
+        if (!m_violation)
+            m_violation = what;
     }
 
-    bool m_calm;
+    bool m_fewFailures;
     manual_clock m_clock;
     std::unique_ptr<basic_request_engine<Policies>> m_engine;
     engine_actions m_actions;
     std::map<request_id, request_record> m_requests;
     std::map<attempt_key, attempt_record> m_history;
     std::vector<attempt_key> m_open;
-    std::vector<attempt_key> m_grave;
+    std::vector<attempt_key> m_endedAttempts;
     std::set<backend_server_id> m_unlisted;
     std::set<backend_server_id> m_leaving;
     std::set<backend_server_id> m_unusable;
     std::uint64_t m_lastRequest = 0;
-    std::uint64_t m_firstTries = 0;
-    std::uint64_t m_tries = 0;
+    std::uint64_t m_firstAttempts = 0;
+    std::uint64_t m_attempts = 0;
     std::uint64_t m_answered = 0;
-    std::uint64_t m_secondTries = 0;
-    std::optional<std::string> m_broken;
+    std::uint64_t m_secondAttempts = 0;
+    std::optional<std::string> m_violation;
 };
 
 } // namespace orchidlead::tests
--- a/tests/core/request_engine_test.cpp
+++ b/tests/core/request_engine_test.cpp
@@ -14,8 +14,8 @@
     return std::string(toName(value));
 }
 
-/// Fails the only attempt of a one-stage request and returns how the request ended.
-final_answer endAfter(attempt_failure failure, bool repeatable)
+/// Lets every attempt of a one-stage request fail and returns the final answer.
+final_answer answerAfterFailure(attempt_failure failure, bool repeatable)
 {
     engine_harness<> harness;
     harness.services({makeService("pay", 1)});
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a request goes through its stages and each gets the outputs of its inputs")
+TEST_CASE("each stage of a request gets the outputs of its input stages")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 2), makeService("retrieve", 2)});
@@ -58,7 +58,7 @@
     CHECK(harness.engine.idle());
 }
 
-TEST_CASE("stages that don't wait for each other run at the same time")
+TEST_CASE("independent stages run in parallel")
 {
     engine_harness<> harness;
     harness.services({makeService("left", 1), makeService("right", 1), makeService("join", 1)});
@@ -77,7 +77,7 @@
     CHECK(join[0].previous.size() == 2);
 }
 
-TEST_CASE("an answer that names another request is dropped and counted, and never delivered")
+TEST_CASE("an answer that belongs to another request is dropped and counted and never delivered")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 2)});
@@ -100,7 +100,7 @@
     CHECK(*ends[0].answer.output == "\"mine\"");
 }
 
-TEST_CASE("a doubled or late answer changes nothing")
+TEST_CASE("duplicate and late answers are ignored")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 1), makeService("retrieve", 1)});
@@ -117,7 +117,7 @@
     CHECK(harness.engine.stats().droppedAnswers == 2);
 }
 
-TEST_CASE("a call that may not be repeated is tried again only where it provably didn't run")
+TEST_CASE("a non-repeatable call is retried only if it provably did not run")
 {
     const auto [failure, expected] = GENERATE(table<attempt_failure, outcome>({
         {attempt_failure::NotSent, outcome::NotRun},
@@ -129,20 +129,20 @@
         {attempt_failure::ServerError, outcome::Unknown},
     }));
     CAPTURE(std::string(toName(failure)));
-    const final_answer end = endAfter(failure, false);
+    const final_answer end = answerAfterFailure(failure, false);
     CHECK(nameOf(end.outcome) == nameOf(expected));
     if (expected == outcome::Unknown)
         CHECK(end.stages[0].attempts == 1);
 }
 
-TEST_CASE("a repeatable stage that may have run and gives no answer ends as failed")
+TEST_CASE("a repeatable stage that may have run and gave no answer ends as failed")
 {
-    const final_answer end = endAfter(attempt_failure::Broken, true);
+    const final_answer end = answerAfterFailure(attempt_failure::Broken, true);
     CHECK(nameOf(end.outcome) == nameOf(outcome::Failed));
     CHECK(end.stages[0].attempts > 1);
 }
 
-TEST_CASE("a connection that failed after its first byte left proves nothing")
+TEST_CASE("a connection failure after a byte was sent is no proof that the call did not run")
 {
     engine_harness<> harness;
     harness.services({makeService("pay", 1)});
@@ -157,7 +157,7 @@
     CHECK(nameOf(ends[0].answer.outcome) == nameOf(outcome::Unknown));
 }
 
-TEST_CASE("the deadline ends a request truthfully")
+TEST_CASE("a request without an answer at its deadline ends as expired or unknown")
 {
     const bool repeatable = GENERATE(true, false);
     engine_harness<> harness;
@@ -176,7 +176,7 @@
     CHECK(harness.take<cancel_attempt>().size() == 1);
 }
 
-TEST_CASE("a request for a service without usable backend servers is refused at once")
+TEST_CASE("a request for a service without usable backend servers is refused immediately")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 1)});
@@ -189,7 +189,7 @@
     CHECK(ends[0].answer.retryAfter.has_value());
 }
 
-TEST_CASE("a backend server that says it leaves gets no new work")
+TEST_CASE("a backend server that reports that it is leaving gets no new work")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 2)});
@@ -205,7 +205,7 @@
     }
 }
 
-TEST_CASE("a draining engine refuses new requests and finishes those it has")
+TEST_CASE("a draining engine refuses new requests and finishes open ones")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 1)});
@@ -223,7 +223,7 @@
     CHECK(harness.engine.idle());
 }
 
-TEST_CASE("a late repeatable attempt is hedged on another server and the loser is cancelled")
+TEST_CASE("a late repeatable attempt is hedged on another server and the slower one is cancelled")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 4)});
@@ -243,7 +243,7 @@
     CHECK(harness.take<deliver_answer>().size() == 1);
 }
 
-TEST_CASE("a call that may not be repeated is never hedged")
+TEST_CASE("a non-repeatable call is never hedged")
 {
     engine_harness<> harness;
     harness.services({makeService("pay", 4)});
@@ -258,7 +258,7 @@
     }
 }
 
-TEST_CASE("the first streamed part binds the stream to its attempt")
+TEST_CASE("only the attempt that sent the first chunk continues the stream")
 {
     engine_harness<> harness;
     harness.services({makeService("generate", 4)});
@@ -287,7 +287,7 @@
     CHECK(nameOf(ends[0].answer.outcome) == nameOf(outcome::Failed));
 }
 
-TEST_CASE("a pool that fails as a whole gets hardly more attempts than first tries")
+TEST_CASE("retries add at most a tenth to the load of a pool that fails completely")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 12)});
@@ -314,7 +314,7 @@
     CHECK(first + second <= Requests * 11 / 10);
     CHECK(first < Requests / 5);
 
-    // The pool is back: one probe succeeds and all requests are taken again.
+    // The pool has recovered: after one successful probe all requests are admitted again.
     harness.advance(milliseconds{1'000});
     harness.submit(plan);
     const auto probe = harness.take<send_attempt>();
@@ -324,7 +324,7 @@
     CHECK(harness.take<send_attempt>().size() == 1);
 }
 
-TEST_CASE("a server that is published again while it is listed as leaving gets no work")
+TEST_CASE("a server that is published again while listed as leaving gets no work")
 {
     engine_harness<> harness;
     const service both = makeService("encode", 2);
@@ -339,7 +339,7 @@
         CHECK(sent.server.value == both.servers[0].id.value);
 }
 
-TEST_CASE("a hedge that is noticed after the last moment to send isn't sent")
+TEST_CASE("a hedge timer handled after the latest start sends no hedge")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 4)});
@@ -351,7 +351,7 @@
     CHECK(harness.take<send_attempt>().empty());
 }
 
-TEST_CASE("a refused stage goes back to its queue, whatever the retry budget")
+TEST_CASE("a refused stage is queued again regardless of the retry budget")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 1), makeService("generate", 20)});
@@ -372,7 +372,7 @@
         CHECK(nameOf(end.answer.outcome) == nameOf(outcome::Answered));
 }
 
-TEST_CASE("where the whole pool is silent nothing is hedged")
+TEST_CASE("no attempt is hedged while no server of the pool answers")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 4)});
@@ -385,7 +385,7 @@
     CHECK(harness.take<send_attempt>().empty());
 }
 
-TEST_CASE("a customer has no more open requests than its limits allow")
+TEST_CASE("a customer cannot exceed its limit of open requests")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 4)});
@@ -406,7 +406,7 @@
     CHECK(harness.take<send_attempt>().size() == 1);
 }
 
-TEST_CASE("attempts that die at the deadline shrink the limit of their server")
+TEST_CASE("attempts abandoned at the deadline reduce the concurrency limit of their server")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 1)});
@@ -422,7 +422,7 @@
     CHECK(after < before);
 }
 
-TEST_CASE("nothing is hedged while work waits for its first attempt")
+TEST_CASE("no attempt is hedged while queued work waits for its first attempt")
 {
     engine_harness<> harness;
     harness.services({makeService("encode", 2)});
--- a/tests/core/stage_estimates_test.cpp
+++ b/tests/core/stage_estimates_test.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/// A first stage, two parallel stages and a last one that joins them.
 pipeline_plan diamond()
 {
     pipeline_plan plan;
@@ -25,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a quantile is near the true one")
+TEST_CASE("an estimated quantile is close to the exact one")
 {
     latency_histogram histogram;
     for (int value = 1; value <= 1'000; ++value)
@@ -34,7 +35,7 @@
     CHECK(histogram.quantile(0.95).count() == Approx(950'000).epsilon(0.1));
 }
 
-TEST_CASE("old times fade when a server's times change")
+TEST_CASE("recent observations outweigh old ones")
 {
     latency_histogram histogram;
     for (int value = 0; value < 5'000; ++value)
@@ -44,7 +45,7 @@
     CHECK(histogram.quantile(0.5).count() == Approx(10'000).epsilon(0.1));
 }
 
-TEST_CASE("the way to the end is the longest of the branches")
+TEST_CASE("the remaining time is that of the longest branch")
 {
     const pipeline_plan plan = diamond();
     stage_estimates estimates;
@@ -53,13 +54,13 @@
         for (int sample = 0; sample < 50; ++sample)
             estimates.observe(plan, stage, 0, milliseconds{times[stage]});
     }
-    const auto toEnd = estimates.timesToEnd(plan, 0, 0.5);
+    const auto toEnd = estimates.remainingTimes(plan, 0, 0.5);
     CHECK(toEnd[3].count() == Approx(5'000).epsilon(0.1));
     CHECK(toEnd[1].count() == Approx(25'000).epsilon(0.1));
     CHECK(toEnd[0].count() == Approx(65'000).epsilon(0.1));
 }
 
-TEST_CASE("a long archive and a chat line are estimated apart")
+TEST_CASE("large and small inputs have separate estimates")
 {
     const pipeline_plan plan = diamond();
     stage_estimates estimates;
