--- a/include/orchidlead/concurrency_limit.h
+++ b/include/orchidlead/concurrency_limit.h
@@ -8,7 +8,7 @@
 
 namespace orchidlead {
 
-/// How many attempts this process may have outstanding at one backend server.
+/// Limits how many attempts this process may have outstanding at one backend server.
 template <class Policy>
 concept concurrency_limit_policy = std::default_initializable<Policy> && requires(
     Policy &limit, const Policy &view, std::chrono::microseconds latency, std::uint32_t outstanding,
@@ -22,7 +22,7 @@
     limit.onRefused(outstanding, now);
 };
 
-/// Baseline: the same limit for ever.
+/// Baseline: a constant limit.
 template <std::uint32_t Limit = 64>
 struct fixed_limit
 {
@@ -32,9 +32,9 @@
     void onRefused(std::uint32_t, steady_time) { }
 };
 
-/// Grows by one for each limit's worth of answers while it is used up; shrinks by a factor when
-/// the server refuses or reports a queue, or when answers take more than a multiple of their
-/// long-term time.
+/// Additive increase, multiplicative decrease. The limit grows by one for every `limit` answers
+/// while it is fully used. It shrinks by a factor when the server refuses, when it reports a queue,
+/// and when the short-term latency exceeds a multiple of the long-term latency.
 class aimd_limit
 {
 public:
@@ -43,28 +43,29 @@
     /// `outstanding` is the number before this answer.
     void onAnswer(std::chrono::microseconds latency, std::uint32_t outstanding, steady_time now);
 
-    /// Takes the numbers of calls that run and wait at the server, of all nodes; may be old.
+    /// `running` and `queued` count the calls of all nodes at the server; they may be outdated.
     void onReport(std::uint32_t running, std::uint32_t queued, steady_time now);
     void onRefused(std::uint32_t outstanding, steady_time now);
 
 private:
     void shrink(double factor, steady_time now);
 
-    double m_limit = 4.0; ///< many nodes start at once
+    /// Starts low, because many nodes may start at the same time.
+    double m_limit = 4.0;
     double m_longTerm = 0.0; ///< µs
     double m_shortTerm = 0.0; ///< µs
     steady_time m_lastShrunk{};
 };
 
-/// Follows the ratio of the long-term to the recent answer time, with room for a queue of the
-/// square root of the limit.
+/// Scales the limit with the ratio of the long-term to the short-term latency, plus headroom for a
+/// queue of the square root of the limit.
 class gradient_limit
 {
 public:
     [[nodiscard]] std::uint32_t limit() const { return static_cast<std::uint32_t>(m_limit); }
     void onAnswer(std::chrono::microseconds latency, std::uint32_t outstanding, steady_time now);
 
-    /// Takes the numbers of calls that run and wait at the server, of all nodes; may be old.
+    /// `running` and `queued` count the calls of all nodes at the server; they may be outdated.
     void onReport(std::uint32_t running, std::uint32_t queued, steady_time now);
     void onRefused(std::uint32_t outstanding, steady_time now);
 
--- a/include/orchidlead/failure_detector.h
+++ b/include/orchidlead/failure_detector.h
@@ -10,16 +10,17 @@
 
 namespace orchidlead {
 
-/// What is known when an attempt's silence is judged.
+/// Inputs to the time-out after which the server of an unanswered attempt is suspected.
 struct silence_view
 {
-    std::chrono::microseconds typical{0}; ///< median time of such an attempt
-    std::chrono::microseconds tail{0}; ///< 99th percentile; 0: nothing seen yet
-    std::chrono::microseconds slack{0}; ///< time left for this stage and a second try of it
-    double suspectedShare = 0.0; ///< of the pool
+    std::chrono::microseconds typical{0}; ///< median duration of such an attempt
+    std::chrono::microseconds tail{0}; ///< 99th percentile; 0: no samples yet
+    /// Time left for this stage and a retry of it.
+    std::chrono::microseconds slack{0};
+    double suspectedShare = 0.0; ///< fraction of the pool
 };
 
-/// After how much silence an attempt's backend server is suspected.
+/// Time without an answer after which an attempt's backend server is suspected.
 template <class Policy>
 concept silence_threshold = std::default_initializable<Policy> && requires(const Policy &policy,
                                                                            const silence_view &view)
@@ -29,14 +30,14 @@
         } -> std::convertible_to<std::chrono::microseconds>;
 };
 
-/// Suspects after a fixed multiple of the usual tail.
+/// A fixed multiple of the tail latency.
 struct fixed_silence_threshold
 {
     [[nodiscard]] std::chrono::microseconds after(const silence_view &view) const;
 };
 
-/// Suspects earlier where more is at risk: where little slack is left, and where more of the
-/// pool is already suspected; later where little is at risk.
+/// Shorter when more is at risk: when little slack is left, and when a larger fraction of the pool
+/// is already suspected.
 struct risk_aware_silence_threshold
 {
     [[nodiscard]] std::chrono::microseconds after(const silence_view &view) const;
@@ -44,32 +45,33 @@
 
 struct failure_detector_settings
 {
-    std::uint32_t failuresToEject = 3; ///< in a row
+    std::uint32_t failuresToEject = 3; ///< consecutive
     std::chrono::milliseconds firstEjection{1000};
     std::chrono::milliseconds longestEjection{30'000};
-    double maxEjectedShare = 0.34; ///< of the pool; a pool of one is never ejected
+    /// Fraction of the pool. The only server of a pool is never ejected.
+    double maxEjectedShare = 0.34;
 };
 
 enum class server_health { Healthy, Ejected, Probing };
 
-/// What an event changed.
+/// Effect of an event on the health of a server.
 enum class health_change { None, Ejected, Restored };
 
-/// Ejects members of one pool that fail several times in a row, for doubling times, and takes
-/// them back after a successful probe. Never ejects more than a share of the pool: beyond that
-/// the fault is likely not the members'.
+/// Ejects members of one pool after consecutive failures, with exponential backoff, and restores
+/// them after a successful probe. Ejects at most a fraction of the pool: if more members fail, the
+/// cause is probably not in the members.
 class failure_detector
 {
 public:
     explicit failure_detector(const failure_detector_settings &settings = {});
 
-    /// Tells which slots are members now; new ones are healthy, kept ones keep their health.
+    /// Adds or removes a member. A new member is healthy; an existing one keeps its health.
     void setMember(std::uint32_t slot, bool member);
 
     [[nodiscard]] health_change onSuccess(std::uint32_t slot);
     [[nodiscard]] health_change onFailure(std::uint32_t slot, steady_time now);
 
-    /// Lets slots whose ejection is over be probed; returns them.
+    /// Starts probing the slots whose ejection has ended, and returns them.
     [[nodiscard]] std::vector<std::uint32_t> takeDue(steady_time now);
     [[nodiscard]] std::optional<steady_time> nextDue() const;
 
@@ -81,9 +83,9 @@
     {
         bool member = false;
         server_health health = server_health::Healthy;
-        std::uint32_t failures = 0; ///< in a row
-        std::uint32_t ejections = 0; ///< in a row, for the doubling
-        steady_time until{};
+        std::uint32_t failures = 0; ///< consecutive
+        std::uint32_t ejections = 0; ///< consecutive, for the backoff
+        steady_time ejectedUntil{};
     };
 
     void eject(slot_state &state, steady_time now);
@@ -91,7 +93,7 @@
     failure_detector_settings m_settings;
     std::vector<slot_state> m_slots;
     std::uint32_t m_members = 0;
-    std::uint32_t m_suspected = 0; ///< ejected or being probed
+    std::uint32_t m_suspected = 0; ///< ejected or probing
 };
 
 static_assert(silence_threshold<fixed_silence_threshold>);
--- a/include/orchidlead/router.h
+++ b/include/orchidlead/router.h
@@ -13,48 +13,51 @@
 
 namespace orchidlead {
 
-/// What routing knows of one backend server. Kept by slot; slots of a pool are dense.
+/// Routing state of one backend server, indexed by slot. The slots of a pool are dense.
 struct routing_entry
 {
     std::uint64_t nameHash = 0; ///< the same in every process
-    std::uint32_t outstanding = 0; ///< own attempts
-    std::uint32_t limit = 1; ///< of own attempts
-    std::uint32_t reported = 0; ///< running and queued, as the server said last; lags
-    double latency = 0.0; ///< smoothed, ms; 0: nothing seen yet
-    steady_time returnedAt{}; ///< start of its slow start
-    bool local = true; ///< in the own data centre
-    bool available = false; ///< may get one more attempt now
-    bool probing = false; ///< on probation after failures
+    std::uint32_t outstanding = 0; ///< attempts of this process
+    std::uint32_t limit = 1; ///< maximum of `outstanding`
+    /// Running and queued calls according to the server's last report, which lags.
+    std::uint32_t reported = 0;
+    double latency = 0.0; ///< smoothed, ms; 0: no samples yet
+    steady_time returnedAt{}; ///< start of the slow start
+    bool local = true; ///< in this process's data centre
+    bool available = false; ///< an attempt may be sent now
+    bool probing = false; ///< being probed after an ejection
 };
 
-/// What a routing decision is for.
+/// Inputs to one routing decision.
 struct routing_request
 {
-    std::uint64_t prefixHash = 0; ///< of the prompt's beginning; 0: no affinity wanted
-    std::span<const std::uint32_t> avoid; ///< slots tried before
-    bool avoidProbing = false; ///< the call may not be repeated
+    /// Of the start of the prompt; 0: no affinity.
+    std::uint64_t prefixHash = 0;
+    std::span<const std::uint32_t> avoid; ///< slots already tried
+    bool avoidProbing = false; ///< for calls that must not be repeated
     steady_time now;
 };
 
 struct routing_settings
 {
-    double remoteLatency = 2.0; ///< ms, there and back to another data centre
-    double usualLatency = 10.0; ///< ms, of a server not seen yet
+    double remoteLatency = 2.0; ///< ms, round trip to another data centre
+    double usualLatency = 10.0; ///< ms, for a server without samples
     std::chrono::milliseconds slowStart{5'000};
-    double affinityLoadBound = 1.25; ///< over the mean number of outstanding attempts
+    /// Relative to the mean number of outstanding attempts per server.
+    double affinityLoadBound = 1.25;
 };
 
-/// The part of a pool that decisions read.
+/// The state of a pool that routing decisions read.
 struct routing_view
 {
     std::span<const routing_entry> entries; ///< by slot
-    std::span<const std::uint32_t> local; ///< available slots of the own data centre
-    std::span<const std::uint32_t> remote; ///< available slots of others
-    double meanOutstanding = 0.0; ///< over all members
+    std::span<const std::uint32_t> local; ///< available slots of this data centre
+    std::span<const std::uint32_t> remote; ///< available slots of other data centres
+    double meanOutstanding = 0.0; ///< per member
     double usualLatency = 0.0; ///< ms, over all members
 };
 
-/// The slots that a decision weighed and the one it chose.
+/// The chosen slot and the candidates of the decision.
 struct routing_choice
 {
     static constexpr std::size_t MaxCandidates = 4;
@@ -83,7 +86,7 @@
         } -> std::same_as<std::optional<routing_choice>>;
 };
 
-/// Baseline: each available slot in turn, without regard to load, latency or data centre.
+/// Baseline: available slots in round-robin order, regardless of load, latency and data centre.
 class round_robin_router
 {
 public:
@@ -97,9 +100,10 @@
     std::size_t m_next = 0;
 };
 
-/// Chooses the better of two samples by latency and load: own outstanding attempts first, the
-/// lagging reports as a hint. Prefers the own data centre while it isn't slower than another one
-/// with the way there, and the server that likely caches the prompt's prefix up to a load bound.
+/// Power of two choices by latency and load. Load is the number of this process's outstanding
+/// attempts plus the server's lagging reports at a lower weight. Prefers this data centre unless
+/// another one is faster despite the round trip. Prefers the server that probably caches the
+/// prompt's prefix, up to a load bound.
 class load_router
 {
 public:
@@ -119,8 +123,9 @@
     };
 
     [[nodiscard]] double score(const routing_view &view, std::uint32_t slot, steady_time now) const;
-    [[nodiscard]] std::optional<std::uint32_t>
-    affine(const routing_view &view, const routing_request &request, routing_choice &choice) const;
+    [[nodiscard]] std::optional<std::uint32_t> pickByPrefix(const routing_view &view,
+                                                            const routing_request &request,
+                                                            routing_choice &choice) const;
     [[nodiscard]] std::optional<std::uint32_t> betterOfTwo(const routing_view &view,
                                                            std::span<const std::uint32_t> slots,
                                                            const routing_request &request,
@@ -128,7 +133,7 @@
                                                            routing_choice &choice) const;
 
     routing_settings m_settings;
-    std::vector<ring_point> m_ring; ///< sorted by hash
+    std::vector<ring_point> m_ring; ///< for consistent hashing; sorted by hash
 };
 
 static_assert(routing_policy<round_robin_router>);
--- a/src/core/servers/concurrency_limit.cpp
+++ b/src/core/servers/concurrency_limit.cpp
@@ -9,43 +9,44 @@
 
 constexpr double MinLimit = 1.0;
 constexpr double MaxLimit = 512.0;
-constexpr double RefusedFactor = 0.75;
-constexpr double SlowFactor = 0.9;
-constexpr double QueuedFactor = 0.9;
-constexpr double LowestQueuedFactor = 0.4;
-constexpr double QueuedShare = 0.5; ///< of the running calls
-constexpr double SlowMultiple = 2.5; ///< of the long-term time
+constexpr double RefusalFactor = 0.75;
+constexpr double LatencyFactor = 0.9;
+constexpr double MaxQueueFactor = 0.9;
+constexpr double MinQueueFactor = 0.4;
+constexpr double MaxQueueShare = 0.5; ///< of the running calls
+constexpr double MaxLatencyRatio = 2.5; ///< short-term to long-term
 constexpr double GradientTolerance = 1.5;
 constexpr double GradientSmoothing = 0.2;
-constexpr double ShortWeight = 1.0 / 8;
-constexpr double LongWeight = 1.0 / 256;
+constexpr double ShortTermWeight = 1.0 / 8;
+constexpr double LongTermWeight = 1.0 / 256;
 
 double smoothed(double old, double sample, double weight)
 {
     return old == 0.0 ? sample : old + (sample - old) * weight;
 }
 
-// Without a rest between two cuts, the answers and refusals of one burst, which all tell of
-// the same moment, would cut the limit to the minimum.
-bool restedSince(steady_time last, double shortTerm, steady_time now)
+// The answers and refusals of one burst describe the same moment. Without a cooldown between
+// reductions they would cut the limit to the minimum.
+bool cooldownElapsed(steady_time last, double shortTerm, steady_time now)
 {
-    const auto rest = std::chrono::microseconds{static_cast<std::int64_t>(shortTerm)};
-    return now - last >= std::max(rest, std::chrono::microseconds{1000});
+    const auto cooldown = std::chrono::microseconds{static_cast<std::int64_t>(shortTerm)};
+    return now - last >= std::max(cooldown, std::chrono::microseconds{1000});
 }
 
-// Reports come seldom where a server answers without them, so one that tells of a long queue must
-// count for more: what is left over keeps half as much waiting as runs.
-double queuedFactor(std::uint32_t running, std::uint32_t queued)
+// Reports are rare for servers whose answers don't carry them, so a single report of a long queue
+// must reduce the limit by more. Within its bounds, the factor leaves half as many queued calls as
+// running ones.
+double queueFactor(std::uint32_t running, std::uint32_t queued)
 {
-    const double wanted = (1.0 + QueuedShare) * running / (running + queued);
-    return std::clamp(wanted, LowestQueuedFactor, QueuedFactor);
+    const double wanted = (1.0 + MaxQueueShare) * running / (running + queued);
+    return std::clamp(wanted, MinQueueFactor, MaxQueueFactor);
 }
 
 } // namespace
 
 void aimd_limit::shrink(double factor, steady_time now)
 {
-    if (!restedSince(m_lastShrunk, m_shortTerm, now))
+    if (!cooldownElapsed(m_lastShrunk, m_shortTerm, now))
         return;
     m_limit = std::max(MinLimit, m_limit * factor);
     m_lastShrunk = now;
@@ -55,10 +56,10 @@
                           steady_time now)
 {
     const auto sample = static_cast<double>(latency.count());
-    m_shortTerm = smoothed(m_shortTerm, sample, ShortWeight);
-    m_longTerm = smoothed(m_longTerm, sample, LongWeight);
-    if (m_shortTerm > SlowMultiple * m_longTerm) {
-        shrink(SlowFactor, now);
+    m_shortTerm = smoothed(m_shortTerm, sample, ShortTermWeight);
+    m_longTerm = smoothed(m_longTerm, sample, LongTermWeight);
+    if (m_shortTerm > MaxLatencyRatio * m_longTerm) {
+        shrink(LatencyFactor, now);
         return;
     }
     const bool usedUp = outstanding + 1 >= limit();
@@ -66,28 +67,28 @@
         m_limit = std::min(MaxLimit, m_limit + 1.0 / m_limit);
 }
 
-// Work that waits at the server is beyond the reach of priorities, fairness and cancelled plans;
-// a short queue there is all that keeps it busy.
+// Priorities, fairness and cancellation don't apply to work that is queued at the server. A short
+// queue there is enough to keep it busy.
 void aimd_limit::onReport(std::uint32_t running, std::uint32_t queued, steady_time now)
 {
-    if (queued > QueuedShare * running)
-        shrink(queuedFactor(running, queued), now);
+    if (queued > MaxQueueShare * running)
+        shrink(queueFactor(running, queued), now);
 }
 
 void aimd_limit::onRefused(std::uint32_t outstanding, steady_time now)
 {
-    // A limit above what was outstanding had no part in it; cutting it alone would change nothing
-    // for a while, and the server would refuse on.
+    // A limit above the number of outstanding attempts was not in effect. Reducing it by a factor
+    // alone could leave it above that number, and the server would keep refusing.
     m_limit = std::clamp(static_cast<double>(outstanding), MinLimit, m_limit);
-    shrink(RefusedFactor, now);
+    shrink(RefusalFactor, now);
 }
 
 void gradient_limit::onAnswer(std::chrono::microseconds latency, std::uint32_t outstanding,
                               steady_time)
 {
     const auto sample = static_cast<double>(latency.count());
-    m_shortTerm = smoothed(m_shortTerm, sample, ShortWeight);
-    m_longTerm = smoothed(m_longTerm, sample, LongWeight);
+    m_shortTerm = smoothed(m_shortTerm, sample, ShortTermWeight);
+    m_longTerm = smoothed(m_longTerm, sample, LongTermWeight);
     if (2 * outstanding < limit())
         return;
     const double gradient = std::clamp(GradientTolerance * m_longTerm / m_shortTerm, 0.5, 1.0);
@@ -98,17 +99,17 @@
 
 void gradient_limit::onReport(std::uint32_t running, std::uint32_t queued, steady_time now)
 {
-    if (queued <= QueuedShare * running || !restedSince(m_lastShrunk, m_shortTerm, now))
+    if (queued <= MaxQueueShare * running || !cooldownElapsed(m_lastShrunk, m_shortTerm, now))
         return;
-    m_limit = std::max(MinLimit, m_limit * QueuedFactor);
+    m_limit = std::max(MinLimit, m_limit * MaxQueueFactor);
     m_lastShrunk = now;
 }
 
 void gradient_limit::onRefused(std::uint32_t, steady_time now)
 {
-    if (!restedSince(m_lastShrunk, m_shortTerm, now))
+    if (!cooldownElapsed(m_lastShrunk, m_shortTerm, now))
         return;
-    m_limit = std::max(MinLimit, m_limit * RefusedFactor);
+    m_limit = std::max(MinLimit, m_limit * RefusalFactor);
     m_lastShrunk = now;
 }
 
--- a/src/core/servers/failure_detector.cpp
+++ b/src/core/servers/failure_detector.cpp
@@ -8,11 +8,11 @@
 
 using std::chrono::microseconds;
 
-constexpr microseconds UnknownTail = std::chrono::seconds{5};
-constexpr microseconds ShortestSilence = std::chrono::milliseconds{20};
-constexpr int FixedMultiple = 3;
-constexpr double RelaxedMultiple = 5.0;
-constexpr double EarliestMultiple = 1.2;
+constexpr microseconds DefaultThreshold = std::chrono::seconds{5};
+constexpr microseconds MinThreshold = std::chrono::milliseconds{20};
+constexpr int FixedTailMultiple = 3;
+constexpr double RelaxedTailMultiple = 5.0;
+constexpr double MinTailMultiple = 1.2;
 constexpr std::uint32_t MaxDoublings = 10;
 
 microseconds scaled(microseconds value, double factor)
@@ -25,21 +25,22 @@
 microseconds fixed_silence_threshold::after(const silence_view &view) const
 {
     if (view.tail.count() == 0)
-        return UnknownTail;
-    return std::max(ShortestSilence, view.tail * FixedMultiple);
+        return DefaultThreshold;
+    return std::max(MinThreshold, view.tail * FixedTailMultiple);
 }
 
-// The reading of risk-aware identification for requests: what is at risk is the deadline of the
-// request, and the pool's ability to make up for it. Half of the slack is the latest moment at
-// which a second try of the same length can still succeed.
+// Applies risk-aware failure identification to requests: at risk are the deadline of the request
+// and the pool's capacity to compensate for the server. Half of the slack is the latest time at
+// which a retry of the same length can still succeed.
 microseconds risk_aware_silence_threshold::after(const silence_view &view) const
 {
     if (view.tail.count() == 0)
-        return UnknownTail;
-    const microseconds relaxed = scaled(view.tail, RelaxedMultiple * (1.0 - view.suspectedShare));
-    const microseconds earliest = scaled(view.tail, EarliestMultiple);
+        return DefaultThreshold;
+    const microseconds relaxed =
+        scaled(view.tail, RelaxedTailMultiple * (1.0 - view.suspectedShare));
+    const microseconds earliest = scaled(view.tail, MinTailMultiple);
     const microseconds latest = view.slack / 2;
-    return std::max({ShortestSilence, earliest, std::min(relaxed, latest)});
+    return std::max({MinThreshold, earliest, std::min(relaxed, latest)});
 }
 
 failure_detector::failure_detector(const failure_detector_settings &settings)
@@ -96,7 +97,8 @@
 {
     const std::uint32_t doublings = std::min(state.ejections, MaxDoublings);
     const auto wanted = m_settings.firstEjection * (1U << doublings);
-    state.until = now + std::min<std::chrono::milliseconds>(wanted, m_settings.longestEjection);
+    state.ejectedUntil =
+        now + std::min<std::chrono::milliseconds>(wanted, m_settings.longestEjection);
     state.health = server_health::Ejected;
     ++state.ejections;
 }
@@ -108,7 +110,7 @@
         return due;
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot) {
         slot_state &state = m_slots[slot];
-        if (state.health != server_health::Ejected || state.until > now)
+        if (state.health != server_health::Ejected || state.ejectedUntil > now)
             continue;
         state.health = server_health::Probing;
         due.push_back(slot);
@@ -122,8 +124,8 @@
     if (m_suspected == 0)
         return next;
     for (const slot_state &state : m_slots) {
-        if (state.health == server_health::Ejected && (!next || state.until < *next))
-            next = state.until;
+        if (state.health == server_health::Ejected && (!next || state.ejectedUntil < *next))
+            next = state.ejectedUntil;
     }
     return next;
 }
--- a/src/core/servers/leaving_news.cpp
+++ b/src/core/servers/leaving_news.cpp
@@ -6,8 +6,9 @@
 
 constexpr std::size_t MaxServers = 4096;
 
-// Load reports lag: one that says otherwise so soon after the server itself is older than that.
-constexpr milliseconds ReportLag{6000};
+// Load reports lag: a report that contradicts the server's own statement within this time is older
+// than the statement.
+constexpr milliseconds MaxReportLag{6000};
 
 } // namespace
 
@@ -29,7 +30,7 @@
         m_leaving.emplace(news.server, m_clock.now());
         return true;
     }
-    if (found == m_leaving.end() || m_clock.now() - found->second < ReportLag)
+    if (found == m_leaving.end() || m_clock.now() - found->second < MaxReportLag)
         return false;
     m_leaving.erase(found);
     return true;
--- a/src/core/servers/leaving_news.h
+++ b/src/core/servers/leaving_news.h
@@ -9,16 +9,17 @@
 
 namespace orchidlead {
 
-/// What a backend server said of itself to one node, for the others to hear.
+/// A change of a backend server's leaving state, which the node that receives it from the server
+/// sends to its peers.
 struct server_news
 {
     backend_server_id server;
-    bool leaving = false; ///< false: it takes work again
+    bool leaving = false; ///< false: the server accepts work again
 
     friend bool operator==(const server_news &, const server_news &) = default;
 };
 
-/// Knows which backend servers said that they are leaving, so that each change is told once.
+/// The set of backend servers that are leaving. Detects changes, so that each is sent only once.
 class leaving_news
 {
 public:
@@ -26,16 +27,18 @@
         : m_clock(clock)
     { }
 
-    /// Takes what a server told this node or a peer; true where it is new here. What is new from
-    /// the server itself is for the peers to hear; what a peer passed on, it has told everyone.
+    /// Applies a change received from a server or a peer; returns whether it is new. A new change
+    /// from the server itself must be sent to the peers. A peer sends its changes to all nodes, so
+    /// those aren't forwarded.
     [[nodiscard]] bool note(const server_news &news);
 
-    /// Gives all that are leaving, for a peer that has just come.
+    /// All leaving servers, to be sent to a new peer.
     [[nodiscard]] std::vector<server_news> all() const;
 
 private:
     const clock_source &m_clock;
-    std::unordered_map<backend_server_id, steady_time> m_leaving; ///< since when it is known
+    /// With the time at which the change was received.
+    std::unordered_map<backend_server_id, steady_time> m_leaving;
 };
 
 } // namespace orchidlead
--- a/src/core/servers/router.cpp
+++ b/src/core/servers/router.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr int SampleTries = 6;
-constexpr std::uint64_t RingPoints = 32; ///< for each member; evens out the shares of the ring
-constexpr std::size_t AffineCandidates = 2;
-constexpr double AffineLatencyBound = 2.0; ///< over the pool's usual latency
-constexpr double ReportTrust = 0.5; ///< reports lag, own counts don't
-constexpr double RemoteAdvantage = 0.8; ///< a remote server must be this much better
+constexpr int MaxRandomDraws = 6;
+constexpr std::uint64_t RingPointsPerServer = 32; ///< evens out the shares of the servers
+constexpr std::size_t PrefixCandidates = 2;
+constexpr double PrefixLatencyBound = 2.0; ///< relative to the pool's latency
+constexpr double ReportWeight = 0.5; ///< reports lag, own counts don't
+constexpr double MaxRemoteScore = 0.8; ///< relative to the local score
 
 bool isUsable(const routing_entry &entry, std::uint32_t slot, const routing_request &request)
 {
@@ -20,13 +20,14 @@
     return std::find(request.avoid.begin(), request.avoid.end(), slot) == request.avoid.end();
 }
 
-// A few blind draws nearly always do; the scan is for pools of which most was tried before.
+// A few random draws nearly always find a usable slot. The scan is for pools in which most slots
+// were already tried.
 std::optional<std::uint32_t> sample(const routing_view &view, std::span<const std::uint32_t> slots,
                                     const routing_request &request, random_source &random)
 {
     if (slots.empty())
         return std::nullopt;
-    for (int attempt = 0; attempt < SampleTries; ++attempt) {
+    for (int attempt = 0; attempt < MaxRandomDraws; ++attempt) {
         const std::uint32_t slot = slots[random.below(slots.size())];
         if (isUsable(view.entries[slot], slot, request))
             return slot;
@@ -40,11 +41,11 @@
 
 double slowStartShare(const routing_entry &entry, std::chrono::milliseconds span, steady_time now)
 {
-    constexpr double LowestShare = 0.1;
+    constexpr double MinShare = 0.1;
     if (entry.returnedAt == steady_time{})
         return 1.0;
     const auto since = std::chrono::duration<double, std::milli>(now - entry.returnedAt).count();
-    return std::clamp(since / static_cast<double>(span.count()), LowestShare, 1.0);
+    return std::clamp(since / static_cast<double>(span.count()), MinShare, 1.0);
 }
 
 } // namespace
@@ -66,7 +67,7 @@
             continue;
         routing_choice choice;
         choice.slot = slot;
-        choice.reason = "next in turn";
+        choice.reason = "round robin";
         choice.consider(slot);
         return choice;
     }
@@ -77,9 +78,9 @@
                             std::span<const std::uint32_t> members)
 {
     m_ring.clear();
-    m_ring.reserve(members.size() * RingPoints);
+    m_ring.reserve(members.size() * RingPointsPerServer);
     for (const std::uint32_t slot : members) {
-        for (std::uint64_t point = 0; point < RingPoints; ++point) {
+        for (std::uint64_t point = 0; point < RingPointsPerServer; ++point) {
             const std::uint64_t name = entries[slot].nameHash;
             m_ring.push_back({XXH64(&point, sizeof point, name), slot});
         }
@@ -88,21 +89,23 @@
               [](const ring_point &a, const ring_point &b) { return a.hash < b.hash; });
 }
 
-// Expected time to an answer: what an answer takes here, times the work that is in front.
+// Expected time to an answer: the latency of the server times the work ahead, plus the round trip
+// to its data centre.
 double load_router::score(const routing_view &view, std::uint32_t slot, steady_time now) const
 {
     const routing_entry &entry = view.entries[slot];
-    const double usual = view.usualLatency > 0.0 ? view.usualLatency : m_settings.usualLatency;
-    const double latency = entry.latency > 0.0 ? entry.latency : usual;
+    const double poolLatency =
+        view.usualLatency > 0.0 ? view.usualLatency : m_settings.usualLatency;
+    const double latency = entry.latency > 0.0 ? entry.latency : poolLatency;
     const std::uint32_t others = entry.reported - std::min(entry.reported, entry.outstanding);
-    const double load = 1.0 + entry.outstanding + ReportTrust * others;
+    const double load = 1.0 + entry.outstanding + ReportWeight * others;
     const double remote = entry.local ? 0.0 : m_settings.remoteLatency;
     return latency * load / slowStartShare(entry, m_settings.slowStart, now) + remote;
 }
 
-std::optional<std::uint32_t> load_router::affine(const routing_view &view,
-                                                 const routing_request &request,
-                                                 routing_choice &choice) const
+std::optional<std::uint32_t> load_router::pickByPrefix(const routing_view &view,
+                                                       const routing_request &request,
+                                                       routing_choice &choice) const
 {
     if (request.prefixHash == 0 || m_ring.empty())
         return std::nullopt;
@@ -112,7 +115,7 @@
         [](const ring_point &entry, std::uint64_t hash) { return entry.hash < hash; });
     std::size_t candidates = 0;
     std::uint32_t last = 0;
-    for (std::size_t step = 0; step < m_ring.size() && candidates < AffineCandidates; ++step) {
+    for (std::size_t step = 0; step < m_ring.size() && candidates < PrefixCandidates; ++step) {
         if (point == m_ring.end())
             point = m_ring.begin();
         const std::uint32_t slot = (point++)->slot;
@@ -122,7 +125,7 @@
         last = slot;
         choice.consider(slot);
         const routing_entry &entry = view.entries[slot];
-        const bool slow = entry.latency > AffineLatencyBound * view.usualLatency;
+        const bool slow = entry.latency > PrefixLatencyBound * view.usualLatency;
         const bool slowStarting = slowStartShare(entry, m_settings.slowStart, request.now) < 1.0;
         const bool full = entry.outstanding > maxLoad;
         if (entry.available && !full && !slow && !slowStarting && isUsable(entry, slot, request))
@@ -153,7 +156,7 @@
 load_router::pick(const routing_view &view, const routing_request &request, random_source &random)
 {
     routing_choice choice;
-    if (const auto slot = affine(view, request, choice)) {
+    if (const auto slot = pickByPrefix(view, request, choice)) {
         choice.slot = *slot;
         choice.reason = "prefix likely cached";
         return choice;
@@ -167,15 +170,15 @@
     if (local) {
         const double localScore = score(view, *local, request.now);
         const bool stay =
-            !remote || score(view, *remote, request.now) >= RemoteAdvantage * localScore;
+            !remote || score(view, *remote, request.now) >= MaxRemoteScore * localScore;
         if (stay) {
             choice.slot = *local;
-            choice.reason = "less loaded of two";
+            choice.reason = "better score of two";
             return choice;
         }
     }
     choice.slot = *remote;
-    choice.reason = local ? "other data center is quicker" : "none here";
+    choice.reason = local ? "other data centre is faster" : "no local server available";
     return choice;
 }
 
--- a/src/core/servers/service_pool_impl.h
+++ b/src/core/servers/service_pool_impl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Definitions of service_pool, whose behaviour varies with its policies.
+// Definitions of the class template service_pool.
 
 #include "core/servers/service_pool.h"
 
@@ -13,24 +13,24 @@
 
 namespace pool_constants {
 inline constexpr double LatencyWeight = 1.0 / 6;
-inline constexpr double UsualWeight = 1.0 / 32;
-inline constexpr double FadePerSecond = 0.1;
-inline constexpr std::chrono::seconds FadeEvery{1};
-inline constexpr milliseconds DefaultPause{50};
-inline constexpr std::chrono::seconds BusyWithoutAnswer{1};
-inline constexpr milliseconds LongestPause{5'000};
-inline constexpr std::chrono::seconds LeavingSticks{5};
+inline constexpr double PoolAverageWeight = 1.0 / 32;
+inline constexpr double DecayPerInterval = 0.1;
+inline constexpr std::chrono::seconds DecayInterval{1};
+inline constexpr milliseconds DefaultBackoff{50};
+inline constexpr std::chrono::seconds BusyWindow{1};
+inline constexpr milliseconds MaxBackoff{5'000};
+inline constexpr std::chrono::seconds LeavingHoldTime{5};
 inline constexpr double WaitWeight = 1.0 / 16;
-inline constexpr double LowLaneShare = 1.0 / 8; ///< as the fair queue keeps it
+inline constexpr double LowLaneShare = 1.0 / 8; ///< as in `fair_queue::LowLaneEvery`
 } // namespace pool_constants
 
 template <class Policies>
 std::uint32_t service_pool<Policies>::addServer(const backend_server &server)
 {
     std::uint32_t slot = 0;
-    if (!m_free.empty()) {
-        slot = m_free.back();
-        m_free.pop_back();
+    if (!m_freeSlots.empty()) {
+        slot = m_freeSlots.back();
+        m_freeSlots.pop_back();
     } else {
         slot = static_cast<std::uint32_t>(m_servers.size());
         m_servers.emplace_back();
@@ -52,8 +52,8 @@
     for (server_entry &entry : m_servers)
         entry.member = false;
     for (const backend_server &server : servers) {
-        const auto known = m_slots.find(server.id);
-        const std::uint32_t slot = known == m_slots.end() ? addServer(server) : known->second;
+        const auto found = m_slots.find(server.id);
+        const std::uint32_t slot = found == m_slots.end() ? addServer(server) : found->second;
         m_servers[slot].server = server;
         m_servers[slot].member = true;
         m_servers[slot].listedLeaving = leaving.count(server.id) > 0;
@@ -64,27 +64,27 @@
         m_detector.setMember(slot, m_servers[slot].member);
         if (m_servers[slot].member)
             members.push_back(slot);
-        // A server may have moved to the other list with its data center.
+        // The server's data centre may have changed, and with it the list that holds the slot.
         unlist(slot);
     }
     m_members = static_cast<std::uint32_t>(members.size());
     m_router.onMembers(m_entries, members);
     refreshAll(now);
     for (std::uint32_t slot = 0; slot < m_servers.size(); ++slot)
-        forgetIfGone(slot);
+        releaseIfUnused(slot);
 }
 
 template <class Policies>
-void service_pool<Policies>::forgetIfGone(std::uint32_t slot)
+void service_pool<Policies>::releaseIfUnused(std::uint32_t slot)
 {
     const server_entry &entry = m_servers[slot];
     if (entry.member || m_entries[slot].outstanding > 0)
         return;
-    const auto known = m_slots.find(entry.server.id);
-    if (known == m_slots.end() || known->second != slot)
+    const auto found = m_slots.find(entry.server.id);
+    if (found == m_slots.end() || found->second != slot)
         return;
-    m_slots.erase(known);
-    m_free.push_back(slot);
+    m_slots.erase(found);
+    m_freeSlots.push_back(slot);
 }
 
 template <class Policies>
@@ -96,22 +96,22 @@
     refreshAll(now);
 }
 
-// A report may be older than the refusal by which the server said that it leaves.
+// A report may be older than the refusal in which the server stated that it is leaving.
 template <class Policies>
 void service_pool<Policies>::onReport(const load_report &report, steady_time now)
 {
-    const auto known = m_slots.find(report.server);
-    if (known == m_slots.end())
+    const auto found = m_slots.find(report.server);
+    if (found == m_slots.end())
         return;
-    server_entry &entry = m_servers[known->second];
-    m_entries[known->second].reported = report.running + report.queued;
+    server_entry &entry = m_servers[found->second];
+    m_entries[found->second].reported = report.running + report.queued;
     entry.limit.onReport(report.running, report.queued, now);
-    const bool sticks =
-        entry.saidLeaving && now - entry.saidLeavingAt < pool_constants::LeavingSticks;
-    if (report.leaving || !sticks)
-        entry.saidLeaving = report.leaving;
+    const bool held =
+        entry.reportedLeaving && now - entry.reportedLeavingAt < pool_constants::LeavingHoldTime;
+    if (report.leaving || !held)
+        entry.reportedLeaving = report.leaving;
     if (report.leaving)
-        entry.saidLeavingAt = now;
+        entry.reportedLeavingAt = now;
     refreshAll(now);
 }
 
@@ -124,7 +124,7 @@
     view.local = m_local;
     view.remote = m_remote;
     view.meanOutstanding = m_members == 0 ? 0.0 : static_cast<double>(m_inFlight) / m_members;
-    view.usualLatency = m_usualLatency;
+    view.usualLatency = m_poolLatency;
     return m_router.pick(view, request, random);
 }
 
@@ -142,16 +142,17 @@
     --m_entries[slot].outstanding;
     --m_inFlight;
     refresh(slot, now);
-    forgetIfGone(slot);
+    releaseIfUnused(slot);
 }
 
-// Takes the size of the input out of an attempt's time, so that it tells of the server.
+// Normalizes an attempt's duration for the size of the input, so that it reflects the server's
+// speed.
 template <class Policies>
-double service_pool<Policies>::comparable(duration elapsed, duration typical) const
+double service_pool<Policies>::normalized(duration elapsed, duration typical) const
 {
     const double time = std::chrono::duration<double, std::milli>(elapsed).count();
-    const double usual = std::chrono::duration<double, std::milli>(typical).count();
-    return usual > 0.0 && m_usualLatency > 0.0 ? time / usual * m_usualLatency : time;
+    const double typicalTime = std::chrono::duration<double, std::milli>(typical).count();
+    return typicalTime > 0.0 && m_poolLatency > 0.0 ? time / typicalTime * m_poolLatency : time;
 }
 
 template <class Policies>
@@ -159,11 +160,12 @@
 {
     using namespace pool_constants;
     const double time = std::chrono::duration<double, std::milli>(elapsed).count();
-    m_meanTime = m_meanTime == 0.0 ? time : m_meanTime + (time - m_meanTime) * UsualWeight;
-    const double sample = comparable(elapsed, typical);
-    m_usualLatency = m_usualLatency == 0.0
+    m_meanDuration =
+        m_meanDuration == 0.0 ? time : m_meanDuration + (time - m_meanDuration) * PoolAverageWeight;
+    const double sample = normalized(elapsed, typical);
+    m_poolLatency = m_poolLatency == 0.0
         ? sample
-        : m_usualLatency + (std::min(sample, 4 * m_usualLatency) - m_usualLatency) * UsualWeight;
+        : m_poolLatency + (std::min(sample, 4 * m_poolLatency) - m_poolLatency) * PoolAverageWeight;
     double &latency = m_entries[slot].latency;
     latency = latency == 0.0 ? sample : latency + (sample - latency) * LatencyWeight;
 }
@@ -178,7 +180,7 @@
     m_lastAnswer = now;
     m_latencies.observe(elapsed);
     observe(slot, elapsed, typical);
-    fadeOldLatencies(now);
+    decayStaleLatencies(now);
     const duration sample{static_cast<std::int64_t>(m_entries[slot].latency * 1000.0)};
     entry.limit.onAnswer(sample, m_entries[slot].outstanding - 1, now);
     breaker.onSuccess();
@@ -194,20 +196,20 @@
 {
     server_entry &entry = m_servers[slot];
     ++entry.failures;
-    // A pool that refuses for a while and answers in between is busy, not broken.
-    const bool busy = failure == attempt_failure::Refused
-        && now - m_lastAnswer < pool_constants::BusyWithoutAnswer;
+    // A pool that refuses some attempts and answers others is busy and must not open the breaker.
+    const bool busy =
+        failure == attempt_failure::Refused && now - m_lastAnswer < pool_constants::BusyWindow;
     if (!busy)
         breaker.onFailure(slot, m_members, now);
     health_change change = health_change::None;
     switch (failure) {
     case attempt_failure::Leaving:
-        entry.saidLeaving = true;
-        entry.saidLeavingAt = now;
+        entry.reportedLeaving = true;
+        entry.reportedLeavingAt = now;
         break;
     case attempt_failure::Refused:
         entry.limit.onRefused(m_entries[slot].outstanding - 1, now);
-        pause(entry, retryAfter, now);
+        backOff(entry, retryAfter, now);
         break;
     case attempt_failure::NotSent:
     case attempt_failure::Broken:
@@ -239,13 +241,14 @@
                                       steady_time now)
 {
     double &latency = m_entries[slot].latency;
-    const double atLeast = comparable(elapsed, typical);
-    if (atLeast <= latency)
+    const double lowerBound = normalized(elapsed, typical);
+    if (lowerBound <= latency)
         return;
-    latency = atLeast;
+    latency = lowerBound;
     m_servers[slot].lastSample = now;
-    // Work that dies waiting gives no answer, and a limit that hears of answers alone would stay.
-    const duration sample{static_cast<std::int64_t>(atLeast * 1000.0)};
+    // Attempts that expire while they wait give no answer, so a limit updated only by answers
+    // would never shrink.
+    const duration sample{static_cast<std::int64_t>(lowerBound * 1000.0)};
     m_servers[slot].limit.onAnswer(sample, m_entries[slot].outstanding - 1, now);
 }
 
@@ -263,13 +266,13 @@
 }
 
 template <class Policies>
-void service_pool<Policies>::pause(server_entry &entry, std::optional<milliseconds> retryAfter,
-                                   steady_time now)
+void service_pool<Policies>::backOff(server_entry &entry, std::optional<milliseconds> retryAfter,
+                                     steady_time now)
 {
     using namespace pool_constants;
-    const milliseconds asked = retryAfter.value_or(DefaultPause);
-    entry.pausedUntil = now + std::clamp(asked, milliseconds{1}, LongestPause);
-    wakeAt(entry.pausedUntil);
+    const milliseconds asked = retryAfter.value_or(DefaultBackoff);
+    entry.backoffUntil = now + std::clamp(asked, milliseconds{1}, MaxBackoff);
+    wakeAt(entry.backoffUntil);
 }
 
 template <class Policies>
@@ -288,24 +291,25 @@
     if (const auto due = m_detector.nextDue())
         wakeAt(*due);
     for (const server_entry &entry : m_servers) {
-        if (entry.member && entry.pausedUntil > now)
-            wakeAt(entry.pausedUntil);
+        if (entry.member && entry.backoffUntil > now)
+            wakeAt(entry.backoffUntil);
     }
     refreshAll(now);
 }
 
-// A server that is avoided gives no new samples; without fading it would be avoided for ever.
+// A server that is avoided gives no new samples. Without decay towards the pool's latency it would
+// be avoided for ever.
 template <class Policies>
-void service_pool<Policies>::fadeOldLatencies(steady_time now)
+void service_pool<Policies>::decayStaleLatencies(steady_time now)
 {
     using namespace pool_constants;
-    if (now - m_lastFade < FadeEvery)
+    if (now - m_lastDecay < DecayInterval)
         return;
-    m_lastFade = now;
+    m_lastDecay = now;
     for (std::uint32_t slot = 0; slot < m_servers.size(); ++slot) {
         double &latency = m_entries[slot].latency;
-        if (latency > 0.0 && now - m_servers[slot].lastSample >= FadeEvery)
-            latency += (m_usualLatency - latency) * FadePerSecond;
+        if (latency > 0.0 && now - m_servers[slot].lastSample >= DecayInterval)
+            latency += (m_poolLatency - latency) * DecayPerInterval;
     }
 }
 
@@ -321,7 +325,7 @@
 bool service_pool<Policies>::isAvailable(std::uint32_t slot, steady_time now) const
 {
     const server_entry &entry = m_servers[slot];
-    if (!entry.member || entry.leaving() || entry.pausedUntil > now)
+    if (!entry.member || entry.leaving() || entry.backoffUntil > now)
         return false;
     if (m_detector.health(slot) == server_health::Ejected)
         return false;
@@ -378,13 +382,14 @@
 template <class Policies>
 void service_pool<Policies>::onStarted(std::uint32_t lane, steady_time now)
 {
-    fadeStartRates(now);
+    decayStartRates(now);
     m_startRates[std::min(lane, Lanes - 1)] += 1.0;
 }
 
-// The rates are starts in the last second or so: each start counts one and fades away.
+// Each start adds one to a rate that decays exponentially with a time constant of 1 s, so that a
+// rate approximates the number of starts in the last second.
 template <class Policies>
-void service_pool<Policies>::fadeStartRates(steady_time now)
+void service_pool<Policies>::decayStartRates(steady_time now)
 {
     const double seconds = std::chrono::duration<double>(now - m_lastStart).count();
     m_lastStart = now;
@@ -392,13 +397,13 @@
         rate *= std::exp(-seconds);
 }
 
-// What a lane can count on: what the pool starts in a second, without what the lanes above take;
-// at least the share that the queue keeps for it.
+// Starts per second that are left for a lane: those of the pool less those of the lanes above, but
+// at least the share that the queue reserves for a lower lane.
 template <class Policies>
 double service_pool<Policies>::laneRate(std::uint32_t lane) const
 {
     using namespace pool_constants;
-    const double total = 1000.0 * std::max<std::uint32_t>(1, m_inFlight) / m_meanTime;
+    const double total = 1000.0 * std::max<std::uint32_t>(1, m_inFlight) / m_meanDuration;
     double left = total;
     for (std::uint32_t above = 0; above < std::min(lane, Lanes); ++above)
         left -= m_startRates[above];
@@ -409,7 +414,7 @@
 auto service_pool<Policies>::queueWait(std::uint32_t lane, std::size_t ahead) const -> duration
 {
     const bool idle = hasAvailable() && queue.empty();
-    if (idle || m_meanTime == 0.0)
+    if (idle || m_meanDuration == 0.0)
         return duration{0};
     const double seconds = static_cast<double>(ahead + 1) / laneRate(lane);
     return duration{static_cast<std::int64_t>(seconds * 1e6)};
@@ -418,27 +423,27 @@
 template <class Policies>
 void service_pool<Policies>::expect(const customer_id &customer)
 {
-    ++m_coming;
-    ++m_comingOf[customer];
+    ++m_expected;
+    ++m_expectedOf[customer];
 }
 
 template <class Policies>
 void service_pool<Policies>::unexpect(const customer_id &customer)
 {
-    const auto entry = m_comingOf.find(customer);
-    if (entry == m_comingOf.end())
+    const auto entry = m_expectedOf.find(customer);
+    if (entry == m_expectedOf.end())
         return;
-    --m_coming;
+    --m_expected;
     if (--entry->second == 0)
-        m_comingOf.erase(entry);
+        m_expectedOf.erase(entry);
 }
 
 template <class Policies>
 std::size_t service_pool<Policies>::ahead(std::uint32_t lane, const customer_id &customer) const
 {
-    const auto own = m_comingOf.find(customer);
-    const std::size_t ownComing = own == m_comingOf.end() ? 0 : own->second;
-    return queue.ahead(lane, customer, ownComing, m_coming);
+    const auto own = m_expectedOf.find(customer);
+    const std::size_t ownExpected = own == m_expectedOf.end() ? 0 : own->second;
+    return queue.ahead(lane, customer, ownExpected, m_expected);
 }
 
 template <class Policies>
--- a/tests/core/concurrency_limit_test.cpp
+++ b/tests/core/concurrency_limit_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace orchidlead;
 
-TEMPLATE_TEST_CASE("a limit that is used up grows, and shrinks when the server refuses", "",
-                   aimd_limit, gradient_limit)
+TEMPLATE_TEST_CASE("a fully used limit grows and shrinks when the server refuses", "", aimd_limit,
+                   gradient_limit)
 {
     TestType limit;
     steady_time now{std::chrono::hours{1}};
@@ -23,7 +23,8 @@
     CHECK(limit.limit() == 1);
 }
 
-TEMPLATE_TEST_CASE("refusals of one moment count once", "", aimd_limit, gradient_limit)
+TEMPLATE_TEST_CASE("refusals within one cooldown reduce the limit once", "", aimd_limit,
+                   gradient_limit)
 {
     TestType limit;
     const steady_time now{std::chrono::hours{1}};
@@ -34,8 +35,8 @@
     CHECK(limit.limit() == once);
 }
 
-TEMPLATE_TEST_CASE("a limit shrinks when answers take much longer than before", "", aimd_limit,
-                   gradient_limit)
+TEMPLATE_TEST_CASE("a limit shrinks when the latency rises far above its long-term value", "",
+                   aimd_limit, gradient_limit)
 {
     TestType limit;
     steady_time now{std::chrono::hours{1}};
@@ -52,7 +53,7 @@
     CHECK(limit.limit() < before);
 }
 
-TEST_CASE("a refusal cuts a limit that was far from used up to what was used")
+TEST_CASE("a refusal cuts a barely used limit to the number of outstanding attempts")
 {
     aimd_limit limit;
     steady_time now{std::chrono::hours{1}};
@@ -64,7 +65,7 @@
     CHECK(limit.limit() <= 4);
 }
 
-TEST_CASE("a queue that the server reports shrinks the limit")
+TEST_CASE("a reported queue at the server shrinks the limit")
 {
     aimd_limit limit;
     const std::uint32_t before = limit.limit();
--- a/tests/core/failure_detector_test.cpp
+++ b/tests/core/failure_detector_test.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("failures in a row eject a server and a successful probe brings it back")
+TEST_CASE("consecutive failures eject a server and a successful probe restores it")
 {
     failure_detector detector = poolOf(6);
     CHECK(failTimes(detector, 2, 2, Start) == health_change::None);
@@ -40,7 +40,7 @@
     CHECK(detector.suspectedShare() == 0.0);
 }
 
-TEST_CASE("each failed probe doubles the time until the next")
+TEST_CASE("each failed probe doubles the time until the next one up to a maximum")
 {
     failure_detector detector = poolOf(6);
     failTimes(detector, 0, 3, Start);
@@ -54,7 +54,7 @@
     }
 }
 
-TEST_CASE("never more than a share of the pool is ejected")
+TEST_CASE("at most a fraction of the pool is ejected")
 {
     failure_detector detector = poolOf(6);
     for (std::uint32_t slot = 0; slot < 6; ++slot)
@@ -64,7 +64,7 @@
     CHECK(failTimes(single, 0, 10, Start) == health_change::None);
 }
 
-TEST_CASE("a server that vanishes no longer counts as suspected")
+TEST_CASE("a removed server no longer counts as suspected")
 {
     failure_detector detector = poolOf(6);
     failTimes(detector, 3, 3, Start);
@@ -74,16 +74,16 @@
     CHECK(detector.onFailure(3, Start) == health_change::None);
 }
 
-TEST_CASE("the risk-aware threshold is shorter with less slack and with more suspects")
+TEST_CASE("the risk-aware threshold is shorter with less slack and with more suspected servers")
 {
     const risk_aware_silence_threshold threshold;
     silence_view view{microseconds{50'000}, microseconds{100'000}, microseconds{10'000'000}, 0.0};
     const microseconds relaxed = threshold.after(view);
     view.suspectedShare = 0.3;
-    const microseconds crowded = threshold.after(view);
+    const microseconds moreSuspected = threshold.after(view);
     view.slack = microseconds{300'000};
     const microseconds urgent = threshold.after(view);
-    CHECK(crowded < relaxed);
-    CHECK(urgent < crowded);
+    CHECK(moreSuspected < relaxed);
+    CHECK(urgent < moreSuspected);
     CHECK(urgent > view.tail);
 }
--- a/tests/core/leaving_news_test.cpp
+++ b/tests/core/leaving_news_test.cpp
@@ -5,35 +5,35 @@
 using namespace orchidlead;
 
 namespace {
-const backend_server_id Runner{"runner-1"};
-constexpr milliseconds WellPastLag{7000};
+const backend_server_id Server{"runner-1"};
+constexpr milliseconds PastReportLag{7000};
 } // namespace
 
-TEST_CASE("that a server is leaving is told once")
+TEST_CASE("a leaving server is a new change only once")
 {
     manual_clock clock;
-    leaving_news news(clock);
-    CHECK(news.note({Runner, true}));
-    CHECK_FALSE(news.note({Runner, true}));
-    CHECK(news.all() == std::vector<server_news>{{Runner, true}});
+    leaving_news servers(clock);
+    CHECK(servers.note({Server, true}));
+    CHECK_FALSE(servers.note({Server, true}));
+    CHECK(servers.all() == std::vector<server_news>{{Server, true}});
 }
 
-TEST_CASE("a lagging load report doesn't take back what the server said")
+TEST_CASE("a lagging load report does not override the server's statement that it is leaving")
 {
     manual_clock clock;
-    leaving_news news(clock);
-    CHECK(news.note({Runner, true}));
+    leaving_news servers(clock);
+    CHECK(servers.note({Server, true}));
     clock.advance(milliseconds{2000});
-    CHECK_FALSE(news.note({Runner, false}));
-    CHECK(news.all().size() == 1);
-    clock.advance(WellPastLag);
-    CHECK(news.note({Runner, false}));
-    CHECK(news.all().empty());
+    CHECK_FALSE(servers.note({Server, false}));
+    CHECK(servers.all().size() == 1);
+    clock.advance(PastReportLag);
+    CHECK(servers.note({Server, false}));
+    CHECK(servers.all().empty());
 }
 
-TEST_CASE("that a server takes work is no news of one that never left")
+TEST_CASE("a server that accepts work is not a change unless it was leaving")
 {
     manual_clock clock;
-    leaving_news news(clock);
-    CHECK_FALSE(news.note({Runner, false}));
+    leaving_news servers(clock);
+    CHECK_FALSE(servers.note({Server, false}));
 }
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A pool whose slots are all available, the first `local` of them in the own data center.
+/// A pool whose slots are all available. The first `localSize` of them are in the local data
+/// centre.
 struct fake_pool
 {
     std::vector<routing_entry> entries;
@@ -55,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("a straggler gets next to no work")
+TEST_CASE("a slow server gets almost no work")
 {
     fake_pool pool(12, 12);
     pool.entries[5].latency = 100.0;
@@ -65,7 +66,7 @@
     CHECK(counts[5] < 30);
 }
 
-TEST_CASE("the own data center is preferred until it is loaded")
+TEST_CASE("the local data centre is preferred until it is loaded")
 {
     fake_pool pool(8, 4);
     load_router router{routing_settings{}};
@@ -77,7 +78,7 @@
     CHECK(std::accumulate(counts.begin() + 4, counts.end(), 0) == 400);
 }
 
-TEST_CASE("the same prefix goes to the same server until that is loaded more than others")
+TEST_CASE("requests with the same prefix go to the same server up to a load bound")
 {
     fake_pool pool(12, 12);
     load_router router{routing_settings{}};
@@ -93,7 +94,7 @@
     CHECK(counts[home] == 0);
 }
 
-TEST_CASE("removing a server moves only the prefixes that it had")
+TEST_CASE("removing a server moves only the prefixes that were assigned to it")
 {
     fake_pool pool(12, 12);
     load_router before{routing_settings{}};
@@ -119,7 +120,7 @@
     CHECK(had < 200);
 }
 
-TEST_CASE("a call that may not be repeated avoids servers on probation, and tried ones are avoided")
+TEST_CASE("tried servers are avoided and so are probed ones for calls that must not be repeated")
 {
     fake_pool pool(3, 3);
     pool.entries[0].probing = true;
@@ -132,16 +133,16 @@
     CHECK(counts[2] == 50);
 }
 
-TEST_CASE("a server that returned gets its share little by little")
+TEST_CASE("a restored server gets its share gradually")
 {
     fake_pool pool(4, 4);
-    const steady_time back{std::chrono::hours{2}};
-    pool.entries[0].returnedAt = back;
+    const steady_time restoredAt{std::chrono::hours{2}};
+    pool.entries[0].returnedAt = restoredAt;
     load_router router{routing_settings{}};
     routing_request request;
-    request.now = back + milliseconds{500};
+    request.now = restoredAt + milliseconds{500};
     const int early = pool.picks(router, request, 400)[0];
-    request.now = back + milliseconds{6'000};
+    request.now = restoredAt + milliseconds{6'000};
     const int late = pool.picks(router, request, 400)[0];
     CAPTURE(early, late);
     CHECK(early < late);
