--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -17,8 +17,8 @@
 constexpr milliseconds ConfigurationRetry{1000};
 constexpr milliseconds StoppingRetry{1000};
 constexpr milliseconds OverloadRetry{500};
-// Of a named request whose plan isn't known: only to be refused or handed on.
-constexpr milliseconds UnplannedDeadline{5000};
+// For a request with a ticket or key but no plan, which is only refused or forwarded.
+constexpr milliseconds NoPlanDeadline{5000};
 
 template <class... Handlers>
 struct overloaded : Handlers...
@@ -43,7 +43,7 @@
     return engine;
 }
 
-at_most_once_settings gateSettings(const node_settings &settings)
+at_most_once_settings atMostOnceSettings(const node_settings &settings)
 {
     at_most_once_settings once = settings.once;
     once.vm = settings.vm;
@@ -67,9 +67,9 @@
         + error.expected;
 }
 
-/// Gives the plan that the caller's own mark asks for.
-std::shared_ptr<const pipeline_plan> honourMark(std::shared_ptr<const pipeline_plan> plan,
-                                                const caller_request &request)
+/// Returns the plan, with all stages not repeatable if the caller marked the request so.
+std::shared_ptr<const pipeline_plan> applyRepeatable(std::shared_ptr<const pipeline_plan> plan,
+                                                     const caller_request &request)
 {
     if (request.repeatable.value_or(true))
         return plan;
@@ -86,7 +86,7 @@
     return std::min(*request.deadline, plan.deadline);
 }
 
-/// Tells two requests apart by all that decides what runs.
+/// Hashes what distinguishes the work of two requests: the pipeline and the input.
 std::uint64_t digestOf(const caller_request &request)
 {
     const std::uint64_t pipeline =
@@ -105,7 +105,7 @@
     return answer;
 }
 
-log_decision refusalLine(const request_id &id, const final_answer &answer)
+log_decision refusalDecision(const request_id &id, const final_answer &answer)
 {
     log_decision line;
     line.kind = decision_kind::Refuse;
@@ -120,7 +120,7 @@
     : m_settings(settings)
     , m_clock(clock)
     , m_engine(engineSettings(settings), clock, seed)
-    , m_gate(gateSettings(settings), clock)
+    , m_atMostOnce(atMostOnceSettings(settings), clock)
     , m_traces(settings.recentRequests, clock)
 { }
 
@@ -142,7 +142,7 @@
         if (entry.vm.dataCenter == m_settings.dataCenter)
             own.push_back(entry);
     }
-    m_gate.setMembers(own, listConfirmedAt);
+    m_atMostOnce.setMembers(own, listConfirmedAt);
 }
 
 void node::setAdmission(admission_state state)
@@ -156,8 +156,8 @@
 {
     request_id id = nextId();
     m_traces.begin(id, request.customer, request.pipeline);
-    m_pending.emplace(id, pending_request{request.customer, request.pipeline, m_clock.now()});
-    const plan_or_refusal plan = planFor(request);
+    m_openRequests.emplace(id, open_request{request.customer, request.pipeline, m_clock.now()});
+    const plan_or_refusal plan = renderPlan(request);
     const bool once = request.named() || (plan && !plan.value()->repeatable());
     if (once)
         submitOnce(id, std::move(request), plan, out);
@@ -166,7 +166,7 @@
     return id;
 }
 
-node::plan_or_refusal node::planFor(const caller_request &request) const
+node::plan_or_refusal node::renderPlan(const caller_request &request) const
 {
     if (!m_configuration) {
         return failure(
@@ -177,10 +177,10 @@
         return failure(
             refusal{refusal_reason::InvalidRequest, describe(plan.error(), request), {}});
     }
-    return honourMark(std::move(plan).value(), request);
+    return applyRepeatable(std::move(plan).value(), request);
 }
 
-std::optional<node::refusal> node::refusalOf(const caller_request &request) const
+std::optional<node::refusal> node::checkAdmission(const caller_request &request) const
 {
     if (m_admission == admission_state::Stopping)
         return refusal{refusal_reason::Stopping, "this node is stopping", StoppingRetry};
@@ -195,31 +195,33 @@
     return std::nullopt;
 }
 
-once_request node::describeOnce(const caller_request &request, steady_time deadline) const
+once_request node::makeOnceRequest(const caller_request &request, steady_time deadline) const
 {
     once_request once;
     once.customer = request.customer;
-    const auto *known = m_configuration ? m_configuration->findCustomer(request.customer) : nullptr;
-    if (known != nullptr)
-        once.homeDataCenter = known->settings->homeDataCenter;
+    const auto *published =
+        m_configuration ? m_configuration->findCustomer(request.customer) : nullptr;
+    if (published != nullptr)
+        once.homeDataCenter = published->settings->homeDataCenter;
     once.ticket = request.ticket;
     once.key = request.idempotencyKey;
     once.digest = digestOf(request);
     once.deadline = deadline;
-    once.forwarded = cameFromOwnDataCenter(request);
+    once.forwarded = forwardedWithinDataCenter(request);
     return once;
 }
 
-// The gate goes first: what else may refuse a request with a ticket or key does so only when the
-// gate has taken it, so that the refusal is remembered and a delayed copy doesn't run.
+// The at-most-once gate decides first. All other refusals of a request with a ticket or key come
+// after the gate has recorded the call, so that the refusal is recorded too and a delayed copy
+// doesn't run.
 void node::submitOnce(const request_id &id, caller_request request, const plan_or_refusal &plan,
                       node_actions &out)
 {
     const milliseconds time =
-        plan ? allowedTime(*plan.value(), request) : request.deadline.value_or(UnplannedDeadline);
+        plan ? allowedTime(*plan.value(), request) : request.deadline.value_or(NoPlanDeadline);
     const steady_time deadline = m_clock.now() + time;
     m_lastDeadline = std::max(m_lastDeadline, deadline);
-    const once_verdict verdict = m_gate.onRequest(describeOnce(request, deadline));
+    const once_verdict verdict = m_atMostOnce.onRequest(makeOnceRequest(request, deadline));
     std::visit(
         overloaded{
             [&](const run_here &run) {
@@ -241,7 +243,7 @@
 void node::runOrRefuse(const request_id &id, caller_request request, const plan_or_refusal &plan,
                        std::optional<record_handle> record, node_actions &out)
 {
-    auto refused = refusalOf(request);
+    auto refused = checkAdmission(request);
     if (!refused && !plan)
         refused = plan.error();
     if (!refused) {
@@ -252,7 +254,7 @@
         answerOf(outcome::NotRun, refused->reason, refused->detail, refused->retryAfter);
     answer.request = id;
     if (record)
-        m_gate.onFinished(*record, answer);
+        m_atMostOnce.onFinished(*record, answer);
     deliver(id, std::move(answer), out);
 }
 
@@ -260,7 +262,7 @@
                  std::optional<record_handle> record, node_actions &out)
 {
     const std::size_t bytes = request.input->size();
-    m_open.emplace(id, open_request{bytes, record, request.named()});
+    m_running.emplace(id, running_request{bytes, record, request.named()});
     m_heldBytes += bytes;
     pipeline_request work;
     work.id = id;
@@ -286,7 +288,7 @@
 void node::forward(const request_id &id, const caller_request &request, const forward_to &verdict,
                    steady_time deadline, node_actions &out)
 {
-    const member *target = mayForward(request, verdict) ? targetOf(id, verdict) : nullptr;
+    const member *target = mayForward(request, verdict) ? forwardTarget(id, verdict) : nullptr;
     if (target == nullptr || m_forwarded.size() >= m_settings.maxForwarded) {
         deliver(id,
                 answerOf(outcome::Unknown, refusal_reason::HomeUnreachable,
@@ -300,8 +302,8 @@
         forward_call{id, target->vm.vm, target->vm.peerAddress, request.body, deadline});
 }
 
-// One hop to another data centre and one within it: a longer way could only be a circle of nodes
-// whose configurations disagree.
+// Allows one hop to another data centre and one within it. A longer path could only be a cycle of
+// nodes whose configurations differ.
 bool node::mayForward(const caller_request &request, const forward_to &verdict) const
 {
     if (request.forwardedBy.empty())
@@ -309,7 +311,7 @@
     return verdict.kind == forward_kind::Key && verdict.dataCenter == m_settings.dataCenter;
 }
 
-bool node::cameFromOwnDataCenter(const caller_request &request) const
+bool node::forwardedWithinDataCenter(const caller_request &request) const
 {
     if (request.forwardedBy.empty())
         return false;
@@ -318,7 +320,7 @@
     return sender == m_members.end() || sender->vm.dataCenter == m_settings.dataCenter;
 }
 
-const member *node::targetOf(const request_id &id, const forward_to &verdict) const
+const member *node::forwardTarget(const request_id &id, const forward_to &verdict) const
 {
     std::vector<vm_id> candidates{verdict.vm};
     if (verdict.vm.empty()) {
@@ -356,7 +358,7 @@
 {
     if (m_admission == admission_state::Stopping)
         return std::nullopt;
-    return m_gate.mintTicket();
+    return m_atMostOnce.mintTicket();
 }
 
 void node::cancel(const request_id &request, node_actions &out)
@@ -366,26 +368,26 @@
                 answerOf(outcome::Unknown, refusal_reason::Cancelled, "the caller went away"), out);
         return;
     }
-    const auto open = m_open.find(request);
-    if (open == m_open.end() || open->second.named)
+    const auto active = m_running.find(request);
+    if (active == m_running.end() || active->second.hasTicketOrKey)
         return;
     feed([&](auto &actions) { m_engine.cancel(request, actions); }, out);
 }
 
 bool node::mayDispatch(const attempt_key &key) const
 {
-    const auto open = m_open.find(key.request);
-    if (open == m_open.end())
+    const auto active = m_running.find(key.request);
+    if (active == m_running.end())
         return false;
-    return !open->second.record || m_gate.mayDispatch(*open->second.record);
+    return !active->second.record || m_atMostOnce.mayDispatch(*active->second.record);
 }
 
 void node::onSent(const attempt_key &key)
 {
     m_engine.onSent(key);
-    const auto open = m_open.find(key.request);
-    if (open != m_open.end() && open->second.record)
-        m_gate.onDispatched(*open->second.record);
+    const auto active = m_running.find(key.request);
+    if (active != m_running.end() && active->second.record)
+        m_atMostOnce.onDispatched(*active->second.record);
 }
 
 void node::onChunk(const attempt_key &key, std::string text, node_actions &out)
@@ -395,9 +397,9 @@
 
 void node::onAnswer(const attempt_answer &answer, node_actions &out)
 {
-    const auto open = m_open.find(answer.key.request);
-    if (open != m_open.end() && answer.output) {
-        open->second.bytes += answer.output->size();
+    const auto active = m_running.find(answer.key.request);
+    if (active != m_running.end() && answer.output) {
+        active->second.bytes += answer.output->size();
         m_heldBytes += answer.output->size();
     }
     feed([&](auto &actions) { m_engine.onAnswer(answer, actions); }, out);
@@ -441,17 +443,17 @@
 
 void node::tickGate(std::vector<peer_message> &out)
 {
-    m_gate.tick(out);
+    m_atMostOnce.tick(out);
 }
 
 void node::onGateMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out)
 {
-    m_gate.onPeerMessage(from, bytes, out);
+    m_atMostOnce.onPeerMessage(from, bytes, out);
 }
 
 bool node::idle() const
 {
-    return m_pending.empty();
+    return m_openRequests.empty();
 }
 
 request_id node::nextId()
@@ -461,7 +463,7 @@
                       + std::to_string(m_sequence)};
 }
 
-void node::passOn(engine_actions &actions, node_actions &out)
+void node::handleActions(engine_actions &actions, node_actions &out)
 {
     for (auto &action : actions) {
         std::visit(overloaded{
@@ -476,31 +478,31 @@
     }
 }
 
-/// Ends a request that the engine had, for its caller and for all that wait with it.
+/// Ends a request that the engine ran, and the attached copies of it.
 void node::finish(final_answer answer, node_actions &out)
 {
-    const auto open = m_open.find(answer.request);
-    if (open == m_open.end())
+    const auto active = m_running.find(answer.request);
+    if (active == m_running.end())
         return;
-    const open_request ended = open->second;
-    m_open.erase(open);
+    const running_request ended = active->second;
+    m_running.erase(active);
     m_heldBytes -= ended.bytes;
     if (ended.record) {
-        m_gate.onFinished(*ended.record, answer);
+        m_atMostOnce.onFinished(*ended.record, answer);
         for (const auto &attached : m_attached.take(*ended.record))
             deliver(attached, answer, out);
     }
     end(std::move(answer), out);
 }
 
-/// Ends a request that the engine never had.
+/// Ends a request that isn't running in the engine.
 void node::deliver(const request_id &id, final_answer answer, node_actions &out)
 {
     answer.request = id;
     if (answer.outcome != outcome::Answered) {
-        log_decision line = refusalLine(id, answer);
-        if (const auto pending = m_pending.find(id); pending != m_pending.end())
-            line.customer = pending->second.customer;
+        log_decision line = refusalDecision(id, answer);
+        if (const auto openRequest = m_openRequests.find(id); openRequest != m_openRequests.end())
+            line.customer = openRequest->second.customer;
         m_traces.addDecision(line);
         out.emplace_back(std::move(line));
     }
@@ -509,11 +511,11 @@
 
 void node::end(final_answer answer, node_actions &out)
 {
-    const auto pending = m_pending.extract(answer.request);
-    if (pending.empty())
+    const auto openRequest = m_openRequests.extract(answer.request);
+    if (openRequest.empty())
         return;
     m_traces.end(answer);
-    const pending_request &request = pending.mapped();
+    const open_request &request = openRequest.mapped();
     const auto elapsed = m_clock.now() - request.started;
     out.emplace_back(end_request{std::move(answer), request.customer, request.pipeline,
                                  std::chrono::duration_cast<milliseconds>(elapsed)});
--- a/src/core/node/node.h
+++ b/src/core/node/node.h
@@ -23,31 +23,35 @@
 
 namespace orchidlead {
 
-/// Who a node is, and its bounds.
+/// Identity and limits of a node.
 struct node_settings
 {
     vm_id vm;
     data_center_id dataCenter;
     region_id region;
     orchidlead::incarnation incarnation = 0;
-    std::size_t maxHeldBytes = 256U << 20U; ///< inputs and stages' outputs of all open requests
-    std::size_t recentRequests = 1000; ///< traces that are kept
-    std::size_t maxForwarded = 1000; ///< requests that wait for another node's answer
+    /// Inputs and stage outputs of all open requests.
+    std::size_t maxHeldBytes = 256U << 20U;
+    std::size_t recentRequests = 1000; ///< number of traces kept
+    /// Requests that wait for another node's answer.
+    std::size_t maxForwarded = 1000;
     engine_settings engine;
-    at_most_once_settings once; ///< its own names are filled in by the node
+    /// The node sets `vm`, `incarnation` and `dataCenter`.
+    at_most_once_settings once;
 };
 
-/// Whether new requests are taken, and why not.
+/// Whether new requests are admitted, and if not, why.
 enum class admission_state {
     Open,
-    Unconfirmed, ///< the configuration must be confirmed first: after the start or a pause
+    /// The configuration must be confirmed first, after the start or a pause.
+    Unconfirmed,
     Stopping,
 };
 
-/// Composes the request side of one node: which plan a request gets, whether it may run here, and
-/// how it goes through its stages. Deterministic, without I/O.
+/// Request processing of one node: renders the plan of a request, decides whether it may run here,
+/// and runs its stages. Deterministic, without I/O.
 ///
-/// Every event function appends to `out`; the shell carries the actions out in order.
+/// Every event function appends to `out`; the caller carries the actions out in order.
 class node
 {
 public:
@@ -55,28 +59,28 @@
     node(const node &) = delete;
     node &operator=(const node &) = delete;
 
-    /// Puts a configuration in force for new requests.
+    /// Sets the configuration for new requests.
     void setConfiguration(configuration_ptr configuration, node_actions &out);
-    /// Takes the members as they are now, and when the platform last vouched for its list.
+    /// Sets the current members, and the time at which the platform last confirmed its list.
     void setMembers(std::vector<member> members, steady_time listConfirmedAt);
     void setAdmission(admission_state state);
 
-    /// Takes a caller's request and gives it its number. Exactly one `end_request` follows, now or
+    /// Starts a caller's request and returns its id. Exactly one `end_request` follows, now or
     /// later.
     request_id submit(caller_request request, node_actions &out);
 
-    /// Takes that a caller went away. Its answer still comes out. What runs is given up, but for
-    /// calls with a ticket or key: their answer may be asked for again.
+    /// Cancels a request whose caller has disconnected; `end_request` still follows. Calls with a
+    /// ticket or key continue, because their answer may be requested again.
     void cancel(const request_id &request, node_actions &out);
 
-    /// Takes the answer of the node that a request was handed to.
+    /// Handles the answer of the node that a request was forwarded to.
     void onForwardAnswer(const request_id &request, final_answer answer, node_actions &out);
     void onForwardFailed(const request_id &request, const std::string &detail, node_actions &out);
 
-    /// Mints a ticket; nothing while the node stops or too many are out.
+    /// Mints a ticket; nothing while the node stops or too many tickets are valid.
     [[nodiscard]] std::optional<std::string> mintTicket();
 
-    /// Tells whether the first byte of an attempt may leave now.
+    /// Whether the first byte of an attempt may be sent now.
     [[nodiscard]] bool mayDispatch(const attempt_key &key) const;
 
     void onSent(const attempt_key &key);
@@ -86,22 +90,22 @@
                    std::optional<milliseconds> retryAfter, node_actions &out);
     void onLoadReport(const load_report &report, node_actions &out);
 
-    /// Does what is due; call it at `nextWake` or later.
+    /// Runs due timers; call it at `nextWake` or later.
     void tick(node_actions &out);
     [[nodiscard]] std::optional<steady_time> nextWake() const;
 
-    /// The gate's own messages to its peers; `tickGate` is to be called about every 250 ms.
+    /// Messages of the at-most-once gate to its peers. Call `tickGate` about every 250 ms.
     void tickGate(std::vector<peer_message> &out);
     void onGateMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out);
-    /// Begins to hand the keys over; part of a planned stop.
-    void startLeaving() { m_gate.startLeaving(); }
-    [[nodiscard]] bool handedOver() const { return m_gate.handedOver(); }
-    [[nodiscard]] const at_most_once &gate() const { return m_gate; }
+    /// Starts to hand the keys over, as part of a planned stop.
+    void startLeaving() { m_atMostOnce.startLeaving(); }
+    [[nodiscard]] bool handedOver() const { return m_atMostOnce.handedOver(); }
+    [[nodiscard]] const at_most_once &gate() const { return m_atMostOnce; }
 
-    /// Tells whether no caller waits and nothing runs.
+    /// Whether no caller waits and nothing runs.
     [[nodiscard]] bool idle() const;
 
-    /// Gives a time that is no earlier than any open request's deadline.
+    /// A time that is no earlier than the deadline of any open request.
     [[nodiscard]] steady_time lastDeadline() const { return m_lastDeadline; }
 
     [[nodiscard]] const node_settings &settings() const { return m_settings; }
@@ -109,24 +113,24 @@
     [[nodiscard]] const std::vector<member> &members() const { return m_members; }
     [[nodiscard]] const recent_requests &traces() const { return m_traces; }
     [[nodiscard]] engine_stats stats() const { return m_engine.stats(); }
-    [[nodiscard]] std::size_t openRequests() const { return m_pending.size(); }
+    [[nodiscard]] std::size_t openRequests() const { return m_openRequests.size(); }
     [[nodiscard]] std::size_t heldBytes() const { return m_heldBytes; }
 
 private:
-    /// A request that has no end yet.
-    struct pending_request
+    /// A request that hasn't ended.
+    struct open_request
     {
         customer_id customer;
         pipeline_id pipeline;
         steady_time started;
     };
 
-    /// A request that the engine has.
-    struct open_request
+    /// A request that the engine runs.
+    struct running_request
     {
-        std::size_t bytes = 0; ///< of its input and of its stages' outputs
+        std::size_t bytes = 0; ///< of its input and stage outputs
         std::optional<record_handle> record;
-        bool named = false; ///< has a ticket or key
+        bool hasTicketOrKey = false;
     };
 
     /// Why a request isn't run.
@@ -141,10 +145,10 @@
     using plan_or_refusal = result<plan_ptr, refusal>;
 
     [[nodiscard]] request_id nextId();
-    [[nodiscard]] plan_or_refusal planFor(const caller_request &request) const;
-    [[nodiscard]] std::optional<refusal> refusalOf(const caller_request &request) const;
-    [[nodiscard]] once_request describeOnce(const caller_request &request,
-                                            steady_time deadline) const;
+    [[nodiscard]] plan_or_refusal renderPlan(const caller_request &request) const;
+    [[nodiscard]] std::optional<refusal> checkAdmission(const caller_request &request) const;
+    [[nodiscard]] once_request makeOnceRequest(const caller_request &request,
+                                               steady_time deadline) const;
     void submitOnce(const request_id &id, caller_request request, const plan_or_refusal &plan,
                     node_actions &out);
     void runOrRefuse(const request_id &id, caller_request request, const plan_or_refusal &plan,
@@ -155,33 +159,34 @@
                 node_actions &out);
     void forward(const request_id &id, const caller_request &request, const forward_to &verdict,
                  steady_time deadline, node_actions &out);
-    [[nodiscard]] const member *targetOf(const request_id &id, const forward_to &verdict) const;
+    [[nodiscard]] const member *forwardTarget(const request_id &id,
+                                              const forward_to &verdict) const;
     [[nodiscard]] bool mayForward(const caller_request &request, const forward_to &verdict) const;
-    [[nodiscard]] bool cameFromOwnDataCenter(const caller_request &request) const;
+    [[nodiscard]] bool forwardedWithinDataCenter(const caller_request &request) const;
     void finish(final_answer answer, node_actions &out);
     void deliver(const request_id &id, final_answer answer, node_actions &out);
     void end(final_answer answer, node_actions &out);
     void expireAttached(node_actions &out);
 
-    /// Runs one event function of the engine and passes on what comes of it.
+    /// Runs one event function of the engine and handles its actions.
     template <class Event>
     void feed(Event &&event, node_actions &out)
     {
         engine_actions actions;
         event(actions);
-        passOn(actions, out);
+        handleActions(actions, out);
     }
-    void passOn(engine_actions &actions, node_actions &out);
+    void handleActions(engine_actions &actions, node_actions &out);
 
     node_settings m_settings;
     const clock_source &m_clock;
     request_engine m_engine;
-    at_most_once m_gate;
+    at_most_once m_atMostOnce;
     recent_requests m_traces;
     configuration_ptr m_configuration;
     std::vector<member> m_members;
-    std::unordered_map<request_id, pending_request> m_pending;
-    std::unordered_map<request_id, open_request> m_open;
+    std::unordered_map<request_id, open_request> m_openRequests;
+    std::unordered_map<request_id, running_request> m_running;
     attached_callers m_attached;
     std::unordered_set<request_id> m_forwarded;
     steady_time m_lastDeadline; ///< of all requests since the start
--- a/src/core/node/node_actions.h
+++ b/src/core/node/node_actions.h
@@ -11,8 +11,8 @@
 
 namespace orchidlead {
 
-/// Action: hand a caller's request to the node that decides about its ticket or key. Ends with
-/// `node::onForwardAnswer` or `node::onForwardFailed`.
+/// Action: forward a caller's request to the node that decides about its ticket or key. Either
+/// `node::onForwardAnswer` or `node::onForwardFailed` must follow.
 struct forward_call
 {
     request_id request;
@@ -22,16 +22,16 @@
     steady_time deadline;
 };
 
-/// Action: tell the caller how its request ended, and count it. Exactly one for each request.
+/// Action: send the answer of a request to its caller, and count it. Exactly one for each request.
 struct end_request
 {
     final_answer answer;
     customer_id customer;
     pipeline_id pipeline;
-    milliseconds elapsed{0}; ///< since it was read
+    milliseconds elapsed{0}; ///< since `node::submit`
 };
 
-/// What the request side of a node asks the shell to do.
+/// An action of `node`, to be carried out by its caller.
 using node_action = std::variant<send_attempt, cancel_attempt, end_request, deliver_chunk,
                                  log_decision, forward_call>;
 using node_actions = std::vector<node_action>;
--- a/src/core/node/node_control.cpp
+++ b/src/core/node/node_control.cpp
@@ -15,7 +15,7 @@
 template <class... Handlers>
 overloaded(Handlers...) -> overloaded<Handlers...>;
 
-constexpr milliseconds ConfirmationReportStep{500};
+constexpr milliseconds ConfirmationReportInterval{500};
 
 bool changesMembers(const membership_action &action)
 {
@@ -85,8 +85,8 @@
 {
     feedMembers([&](auto &actions) { m_members.tick(actions); }, out);
     feedKeeper([&](auto &actions) { m_keeper.tick(actions); }, out);
-    // Peers vouch for the list too, and no action tells when one did.
-    if (confirmedAt() >= m_reportedConfirmation + ConfirmationReportStep)
+    // Peers confirm the list too, and no action reports that.
+    if (confirmedAt() >= m_reportedConfirmation + ConfirmationReportInterval)
         reportMembers(out);
 }
 
@@ -110,9 +110,9 @@
     feedMembers([&](auto &actions) { m_members.announceStopped(actions); }, out);
 }
 
-void node_control::passOn(const membership_actions &actions, control_actions &out)
+void node_control::handleActions(const membership_actions &actions, control_actions &out)
 {
-    // Before the others: what the keeper makes of a peer's report depends on the members.
+    // Members first, because the keeper's handling of a peer's report depends on them.
     if (std::any_of(actions.begin(), actions.end(), changesMembers))
         reportMembers(out);
     for (const auto &action : actions) {
@@ -136,7 +136,7 @@
     }
 }
 
-void node_control::passOn(published_keeper::actions &actions, control_actions &out)
+void node_control::handleActions(published_keeper::actions &actions, control_actions &out)
 {
     for (auto &action : actions) {
         std::visit(overloaded{
--- a/src/core/node/node_control.h
+++ b/src/core/node/node_control.h
@@ -17,7 +17,7 @@
 
 using published_keeper = configuration_keeper<published_configuration>;
 
-/// Action: the members changed, or the platform vouched for its list anew.
+/// Action: the members changed, or the platform confirmed its list again.
 struct members_updated
 {
     std::vector<member> members;
@@ -30,15 +30,15 @@
                  reject_configuration, keeper_report>;
 using control_actions = std::vector<control_action>;
 
-/// Settings of a node's control part.
+/// Settings of `node_control`.
 struct control_options
 {
     membership_options members;
     keeper_options keeper;
 };
 
-/// Joins membership and the configuration keeper: what gossip brings goes to the keeper, and what
-/// the keeper decides goes out with the gossip. Deterministic, without I/O.
+/// Connects membership and the configuration keeper: reports from gossip go to the keeper, and the
+/// keeper's decisions are sent with the gossip. Deterministic, without I/O.
 class node_control
 {
 public:
@@ -46,7 +46,7 @@
                  published_keeper::validator validate);
 
     void setListed(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
-    /// Takes that the platform said that its list is still that one.
+    /// Records the platform's confirmation that its list still has this version.
     void onListConfirmed(std::uint64_t version, control_actions &out);
     void onDatagram(const socket_address &from, std::string_view bytes, control_actions &out);
 
@@ -58,9 +58,9 @@
                        control_actions &out);
     void onPeerFailed(const vm_id &vm, control_actions &out);
 
-    /// Runs timers; call every 50 to 100 ms.
+    /// Runs due timers; call every 50 to 100 ms.
     void tick(control_actions &out);
-    /// Notices a pause; call before acting on anything that was known before.
+    /// Detects a pause of the process; call before acting on state that may be from before it.
     void noticePause(control_actions &out);
 
     void announceLeaving(control_actions &out);
@@ -73,27 +73,27 @@
     [[nodiscard]] const membership &members() const { return m_members; }
 
 private:
-    void passOn(const membership_actions &actions, control_actions &out);
-    void passOn(published_keeper::actions &actions, control_actions &out);
+    void handleActions(const membership_actions &actions, control_actions &out);
+    void handleActions(published_keeper::actions &actions, control_actions &out);
     void reportMembers(control_actions &out);
     [[nodiscard]] steady_time confirmedAt() const;
 
-    /// Runs one input of the membership and passes on what comes of it.
+    /// Runs one input of the membership and handles its actions.
     template <class Input>
     void feedMembers(Input &&input, control_actions &out)
     {
         membership_actions actions;
         input(actions);
-        passOn(actions, out);
+        handleActions(actions, out);
     }
 
-    /// Runs one input of the keeper and passes on what comes of it.
+    /// Runs one input of the keeper and handles its actions.
     template <class Input>
     void feedKeeper(Input &&input, control_actions &out)
     {
         published_keeper::actions actions;
         input(actions);
-        passOn(actions, out);
+        handleActions(actions, out);
     }
 
     membership m_members;
--- a/src/core/node/planned_stop.cpp
+++ b/src/core/node/planned_stop.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// For the answers of requests that end at their deadline.
+// Time for the answers of requests that end at their deadline.
 constexpr milliseconds DeadlineGrace{1000};
 
 } // namespace
@@ -38,21 +38,21 @@
     return m_phase;
 }
 
-// The whole notice is waited for even when the node is idle: the balancer may still send. Every
-// request ends by its deadline, so that waiting for the last one cuts off none, whatever the
-// setting.
+// An idle node waits for the whole notice too, because the load balancer may still send requests.
+// Every request ends by its deadline, so waiting for the last deadline cuts off no request, however
+// short the drain time is set.
 bool planned_stop::phaseOver(const stop_progress &progress) const
 {
-    const auto spent = m_clock.now() - m_entered;
+    const auto elapsed = m_clock.now() - m_phaseStart;
     switch (m_phase) {
     case stop_phase::Noticing:
-        return spent >= m_options.notice;
+        return elapsed >= m_options.notice;
     case stop_phase::Draining:
         if (progress.idle)
-            return progress.handedOver || spent >= m_options.drain;
-        return spent >= m_options.drain && m_clock.now() >= progress.lastDeadline + DeadlineGrace;
+            return progress.handedOver || elapsed >= m_options.drain;
+        return elapsed >= m_options.drain && m_clock.now() >= progress.lastDeadline + DeadlineGrace;
     case stop_phase::Closing:
-        return progress.connectionsClosed || spent >= m_options.close;
+        return progress.connectionsClosed || elapsed >= m_options.close;
     case stop_phase::Running:
     case stop_phase::Stopped:
         break;
@@ -63,7 +63,7 @@
 void planned_stop::enter(stop_phase phase)
 {
     m_phase = phase;
-    m_entered = m_clock.now();
+    m_phaseStart = m_clock.now();
 }
 
 } // namespace orchidlead
--- a/src/core/node/planned_stop.h
+++ b/src/core/node/planned_stop.h
@@ -8,12 +8,14 @@
 
 namespace orchidlead {
 
-/// How far a planned stop has come.
+/// Phases of a planned stop.
 enum class stop_phase {
     Running,
-    Noticing, ///< says that it isn't ready and still serves, so that the balancer notices
-    Draining, ///< refuses new requests and finishes open ones
-    Closing, ///< lets the last answers leave
+    /// Reports that the node isn't ready, so that the load balancer notices, and still serves.
+    Noticing,
+    /// Refuses new requests and finishes open ones.
+    Draining,
+    Closing, ///< waits for the last answers
     Stopped,
 };
 
@@ -26,32 +28,34 @@
     enum_name<stop_phase>{stop_phase::Stopped, "stopped"},
 };
 
-/// How long the phases of a planned stop take at most.
+/// Durations of the phases of a planned stop.
 struct planned_stop_options
 {
-    milliseconds notice{5000}; ///< longer than the balancer's check interval times its failures
-    milliseconds drain{30000}; ///< or until the last deadline of an open request, if that is later
-    milliseconds close{1000}; ///< for connections that are kept open by callers
+    /// Must exceed the load balancer's check interval times its failure threshold.
+    milliseconds notice{5000};
+    /// Extended to the last deadline of an open request, if that is later.
+    milliseconds drain{30000};
+    milliseconds close{1000}; ///< for connections that callers keep open
 };
 
-/// What still holds a stop up.
+/// What a stop still waits for.
 struct stop_progress
 {
     bool idle = false; ///< no request is open
     bool handedOver = false; ///< no key is left to hand over
     bool connectionsClosed = false;
-    steady_time lastDeadline; ///< no open request's is later
+    steady_time lastDeadline; ///< no open request has a later one
 };
 
-/// Leads a node through its planned stop.
+/// State machine of a planned stop.
 class planned_stop
 {
 public:
     planned_stop(const planned_stop_options &options, const clock_source &clock);
 
-    /// Starts the stop; does nothing when it has started.
+    /// Starts the stop; no effect if it has started.
     void begin();
-    /// Moves on where it is time; returns the new phase where it changed.
+    /// Enters the next phase if the current one is over, and returns it.
     std::optional<stop_phase> tick(const stop_progress &progress);
 
     [[nodiscard]] stop_phase phase() const { return m_phase; }
@@ -64,7 +68,7 @@
     planned_stop_options m_options;
     const clock_source &m_clock;
     stop_phase m_phase = stop_phase::Running;
-    steady_time m_entered;
+    steady_time m_phaseStart;
 };
 
 } // namespace orchidlead
--- a/tests/core/control_fake_network.h
+++ b/tests/core/control_fake_network.h
@@ -30,7 +30,8 @@
     return std::make_shared<const text_configuration>(text_configuration{std::string(content)});
 }
 
-/// Takes whatever is offered, as a cache of the service would; shows what the guards prevent.
+/// Accepts every offered version, as a plain cache of the service would, to show what the guards
+/// prevent.
 struct trusting_policy
 {
     static bool supersedes(const configuration_stamp &offered, const configuration_stamp &current)
@@ -40,13 +41,13 @@
     static constexpr bool ConfirmBeforeServing = false;
 };
 
-/// What the network does to each datagram.
+/// Faults that the network applies to each datagram.
 struct network_faults
 {
     double loss = 0;
     double duplication = 0;
     milliseconds leastDelay{1};
-    milliseconds mostDelay{3}; ///< random delays reorder
+    milliseconds mostDelay{3}; ///< random delays reorder datagrams
 };
 
 /// Runs the membership and the configuration keeper of many nodes against each other.
@@ -66,12 +67,12 @@
         std::unique_ptr<keeper_type> keeper;
         std::vector<std::pair<socket_address, std::string>> buffered; ///< while paused
         std::uint64_t pausesNoticed = 0;
-        std::uint64_t deathsSeen = 0; ///< changes to dead of any member
+        std::uint64_t deathsSeen = 0; ///< members that became dead
         std::uint64_t changesSeen = 0;
         std::uint64_t contentsServed = 0; ///< to peers
         bool supersededSeen = false;
-        configuration_stamp highest; ///< ever in force on this incarnation
-        bool wentBack = false;
+        configuration_stamp highest; ///< in force at any time in this incarnation
+        bool regressed = false;
     };
 
     explicit control_fake_network(std::uint64_t seed)
@@ -90,7 +91,7 @@
         return m_nodes.size() - 1;
     }
 
-    /// Adds and starts `count` nodes, spread over so many data centres.
+    /// Adds and starts `count` nodes, spread over `dataCenters` data centres.
     void addFleet(std::size_t count, std::size_t dataCenters)
     {
         for (std::size_t i = 0; i < count; ++i)
@@ -99,7 +100,7 @@
             start(i);
     }
 
-    /// Starts a new process on that VM.
+    /// Starts a new process on the VM.
     void start(std::size_t index)
     {
         node &started = m_nodes[index];
@@ -114,39 +115,39 @@
         options.incarnation = started.incarnation;
         options.seed = m_random();
         started.members = std::make_unique<membership>(clock, options);
-        keeper_options keeping;
-        keeping.self = started.vm;
-        keeping.seed = m_random();
-        started.keeper = std::make_unique<keeper_type>(clock, keeping, parseText);
+        keeper_options keeperOptions;
+        keeperOptions.self = started.vm;
+        keeperOptions.seed = m_random();
+        started.keeper = std::make_unique<keeper_type>(clock, keeperOptions, parseText);
         if (platformReaches(index))
-            giveList(index);
+            sendList(index);
         scheduleTick(index, milliseconds{m_random() % TickTime.count()});
     }
 
-    /// Ends the process at once.
+    /// Ends the process without a stop message.
     void kill(std::size_t index) { m_nodes[index].running = false; }
 
     void pause(std::size_t index) { m_nodes[index].paused = true; }
 
-    /// Lets a paused process go on: what lies in its socket comes before its timers.
+    /// Resumes a paused process: it receives its buffered datagrams before its timers run.
     void wake(std::size_t index)
     {
-        node &woken = m_nodes[index];
-        woken.paused = false;
-        auto buffered = std::move(woken.buffered);
-        woken.buffered.clear();
+        node &resumed = m_nodes[index];
+        resumed.paused = false;
+        auto buffered = std::move(resumed.buffered);
+        resumed.buffered.clear();
         for (const auto &[from, bytes] : buffered)
             receive(index, from, bytes);
         scheduleTick(index, milliseconds{0});
     }
 
-    /// Separates the data centres into groups; those not named are group 0.
+    /// Partitions the network into groups of data centres; those not named are in group 0.
     void cut(std::map<std::string, int> groups) { m_groups = std::move(groups); }
     void heal() { m_groups.clear(); }
-    /// Takes the platform away from that group of data centres.
+    /// Disconnects groups of data centres from the platform.
     void cutPlatform(std::set<int> groups) { m_withoutPlatform = std::move(groups); }
 
-    /// Publishes a version and answers the waiting watches.
+    /// Publishes a version and answers the watches that wait for it.
     void publish(std::uint64_t version, const std::string &content)
     {
         m_version = version;
@@ -154,14 +155,14 @@
         answerWatches();
     }
     void setServiceUp(bool up) { m_serviceUp = up; }
-    /// Gives all nodes that the platform reaches a list without these.
-    void listWithout(const std::set<std::size_t> &gone)
+    /// Sends all nodes that the platform reaches a list without the given ones.
+    void listWithout(const std::set<std::size_t> &unlisted)
     {
-        m_unlisted = gone;
+        m_unlisted = unlisted;
         ++m_listVersion;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
             if (m_nodes[i].running && platformReaches(i))
-                giveList(i);
+                sendList(i);
         }
     }
 
@@ -178,7 +179,7 @@
         clock.advance(end - clock.now());
     }
 
-    /// Runs until `done` holds, and returns how long that took; gives up after `bound`.
+    /// Runs until `done` holds or for `bound`, and returns the elapsed time.
     template <class Condition>
     milliseconds runUntil(Condition done, milliseconds bound, milliseconds step = milliseconds{50})
     {
@@ -201,8 +202,8 @@
         return found ? found->state : member_state::Dead;
     }
 
-    /// Tells whether each running node of `group` sees each running one of it alive, and each that
-    /// isn't running as dead.
+    /// Whether each running node of `group` regards the running nodes of the group as alive and all
+    /// other nodes as dead.
     [[nodiscard]] bool agreed(int group = 0)
     {
         for (std::size_t i = 0; i < size(); ++i) {
@@ -218,7 +219,7 @@
         return true;
     }
 
-    /// Tells whether each running node of `group` has that version in force.
+    /// Whether the version is in force on each running node of `group`.
     [[nodiscard]] bool inForce(std::uint64_t version, int group = 0)
     {
         for (std::size_t i = 0; i < size(); ++i) {
@@ -255,7 +256,7 @@
         m_events.emplace(clock.now() + after, std::move(event));
     }
 
-    /// Runs `event` later, unless the process has been replaced or killed by then.
+    /// Runs `event` after a time, unless the process has been replaced or killed by then.
     void scheduleFor(std::size_t index, std::chrono::nanoseconds after, std::function<void()> event)
     {
         const auto incarnation = at(index).incarnation;
@@ -280,12 +281,12 @@
         membership_actions out;
         at(index).members->tick(out);
         carryOut(index, out);
-        typename keeper_type::actions kept;
-        at(index).keeper->tick(kept);
-        carryOut(index, kept);
+        typename keeper_type::actions keeperActions;
+        at(index).keeper->tick(keeperActions);
+        carryOut(index, keeperActions);
     }
 
-    void giveList(std::size_t index)
+    void sendList(std::size_t index)
     {
         std::vector<listed_vm> vms;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
@@ -320,10 +321,10 @@
         if (changed)
             at(index).keeper->setMembers(at(index).members->members());
         for (const auto &action : actions)
-            std::visit([this, index](const auto &one) { this->carry(index, one); }, action);
+            std::visit([this, index](const auto &one) { this->handle(index, one); }, action);
     }
 
-    void carry(std::size_t index, const gossip_datagram &datagram)
+    void handle(std::size_t index, const gossip_datagram &datagram)
     {
         const auto found = m_byPort.find(datagram.to.port);
         if (found == m_byPort.end() || groupOf(index) != groupOf(found->second))
@@ -341,16 +342,16 @@
         scheduleFor(to, delay(), [this, to, address, bytes] { receive(to, address, bytes); });
     }
 
-    void carry(std::size_t index, const member_changed &change)
+    void handle(std::size_t index, const member_changed &change)
     {
         at(index).changesSeen++;
         if (change.now.state == member_state::Dead && change.before != member_state::Dead)
             at(index).deathsSeen++;
     }
-    void carry(std::size_t, const member_forgotten &) { }
-    void carry(std::size_t index, const superseded &) { at(index).supersededSeen = true; }
+    void handle(std::size_t, const member_forgotten &) { }
+    void handle(std::size_t index, const superseded &) { at(index).supersededSeen = true; }
 
-    void carry(std::size_t index, const paused &)
+    void handle(std::size_t index, const paused &)
     {
         at(index).pausesNoticed++;
         typename keeper_type::actions out;
@@ -358,7 +359,7 @@
         carryOut(index, out);
     }
 
-    void carry(std::size_t index, const peer_report &report)
+    void handle(std::size_t index, const peer_report &report)
     {
         typename keeper_type::actions out;
         at(index).keeper->onPeerVersion(report.vm, report.configuration, report.askedAt, out);
@@ -368,13 +369,13 @@
     void carryOut(std::size_t index, const typename keeper_type::actions &actions)
     {
         for (const auto &action : actions)
-            std::visit([this, index](const auto &one) { this->carry(index, one); }, action);
+            std::visit([this, index](const auto &one) { this->handle(index, one); }, action);
     }
 
-    void carry(std::size_t index, const adopt_configuration<text_configuration> &adopted)
+    void handle(std::size_t index, const adopt_configuration<text_configuration> &adopted)
     {
         node &here = at(index);
-        here.wentBack = here.wentBack || adopted.stamp < here.highest;
+        here.regressed = here.regressed || adopted.stamp < here.highest;
         here.highest = std::max(here.highest, adopted.stamp);
         here.members->setConfiguration(adopted.stamp);
         if (!adopted.announce)
@@ -383,23 +384,23 @@
         here.members->announce(out);
         carryOut(index, out);
     }
-    void carry(std::size_t, const reject_configuration &) { }
-    void carry(std::size_t, const keeper_report &) { }
+    void handle(std::size_t, const reject_configuration &) { }
+    void handle(std::size_t, const keeper_report &) { }
 
-    void carry(std::size_t index, const ask_peers &ask)
+    void handle(std::size_t index, const ask_peers &ask)
     {
         membership_actions out;
         at(index).members->probeNow(ask.count, out);
         carryOut(index, out);
     }
 
-    void carry(std::size_t index, const fetch_from_peer &fetch)
+    void handle(std::size_t index, const fetch_from_peer &fetch)
     {
         for (std::size_t peer = 0; peer < size(); ++peer) {
             if (at(peer).vm.vm != fetch.vm)
                 continue;
             const bool reachable = active(peer) && groupOf(peer) == groupOf(index);
-            if (!reachable) // a connection into nothing: the keeper's own timeout ends it
+            if (!reachable) // no answer: the keeper's own time-out ends the read
                 return;
             at(peer).contentsServed++;
             const auto version = at(peer).keeper->stamp().version;
@@ -412,7 +413,7 @@
         }
     }
 
-    void carry(std::size_t index, const fetch_from_service &fetch)
+    void handle(std::size_t index, const fetch_from_service &fetch)
     {
         ++m_serviceCalls;
         if (!m_serviceUp || !platformReaches(index)) {
@@ -463,7 +464,7 @@
         withKeeper(index, [=](auto &keeper, auto &out) { keeper.onServiceUnchanged(call, out); });
     }
 
-    /// Gives an input to a node's keeper; a paused node gets it when it wakes, late and first.
+    /// Passes an input to a node's keeper, for a paused node after it has resumed.
     template <class Input>
     void withKeeper(std::size_t index, Input input)
     {
--- a/tests/core/control_plane_test.cpp
+++ b/tests/core/control_plane_test.cpp
@@ -1,4 +1,4 @@
-// Membership and configuration keepers of many nodes against each other, under drawn faults.
+// Runs membership and configuration keepers of many nodes against each other under random faults.
 #include "core/control_fake_network.h"
 
 #include <catch2/catch.hpp>
@@ -16,8 +16,8 @@
 constexpr std::uint64_t Seed = 20261202;
 constexpr milliseconds InForceBound{4000};
 
-/// Goes up only, but serves as soon as it has anything.
-struct hasty_policy : forward_only_policy
+/// Never returns to an older version, but serves before its configuration is confirmed.
+struct serve_unconfirmed_policy : forward_only_policy
 {
     static constexpr bool ConfirmBeforeServing = false;
 };
@@ -33,16 +33,16 @@
 }
 
 template <class Network>
-bool anyWentBack(Network &net)
+bool anyRegressed(Network &net)
 {
     for (std::size_t i = 0; i < net.size(); ++i) {
-        if (net.at(i).wentBack)
+        if (net.at(i).regressed)
             return true;
     }
     return false;
 }
 
-/// Draws faults and changes, and plays them on a fleet of eight nodes in four data centres.
+/// Applies random faults and changes to a fleet of eight nodes in four data centres.
 template <class Policy>
 class fault_script
 {
@@ -58,15 +58,15 @@
         m_net.run(10s);
     }
 
-    void play(int steps)
+    void runSteps(int steps)
     {
         for (int i = 0; i < steps; ++i) {
             step();
-            m_net.run(milliseconds{draw(3000)});
+            m_net.run(milliseconds{randomBelow(3000)});
         }
     }
 
-    /// Ends all faults, and gives the fleet the time to notice.
+    /// Ends all faults and gives the fleet time to recover.
     void repair()
     {
         m_net.heal();
@@ -79,7 +79,7 @@
             if (m_net.at(i).paused)
                 m_net.wake(i);
         }
-        m_net.listWithout({}); // those that started without the platform get the list now
+        m_net.listWithout({}); // for nodes that started without the platform
         m_net.run(30s);
     }
 
@@ -92,17 +92,17 @@
     }
 
 private:
-    std::uint64_t draw(std::uint64_t bound) { return m_random() % bound; }
+    std::uint64_t randomBelow(std::uint64_t bound) { return m_random() % bound; }
 
     void step()
     {
-        const auto index = static_cast<std::size_t>(draw(Nodes));
+        const auto index = static_cast<std::size_t>(randomBelow(Nodes));
         auto &node = m_net.at(index);
-        switch (draw(12)) {
+        switch (randomBelow(12)) {
         case 0:
             return m_net.kill(index);
         case 1:
-            return m_net.start(index); // a kill and a replacement, or a restart
+            return m_net.start(index); // restarts a running node, replaces a killed one
         case 2:
             return m_net.pause(index);
         case 3:
@@ -110,18 +110,19 @@
                 m_net.wake(index);
             return;
         case 4:
-            return m_net.cut({{"dc-" + std::to_string(draw(4)), 1}});
+            return m_net.cut({{"dc-" + std::to_string(randomBelow(4)), 1}});
         case 5:
             return m_net.heal();
         case 6:
-            return m_net.cutPlatform({static_cast<int>(draw(3))});
+            return m_net.cutPlatform({static_cast<int>(randomBelow(3))});
         case 7:
-            return m_net.setServiceUp(draw(2) == 0);
+            return m_net.setServiceUp(randomBelow(2) == 0);
         case 8:
-            m_net.faults = {draw(3) * 0.1, draw(2) * 0.05, 1ms, milliseconds{5 + draw(60)}};
+            m_net.faults = {randomBelow(3) * 0.1, randomBelow(2) * 0.05, 1ms,
+                            milliseconds{5 + randomBelow(60)}};
             return;
-        case 9: // stale: the service goes back to what it once had
-            return m_net.publish(1 + draw(m_version), "version stale");
+        case 9: // the service returns to an earlier version
+            return m_net.publish(1 + randomBelow(m_version), "version stale");
         case 10:
             ++m_version;
             return m_net.publish(m_version, "invalid " + std::to_string(m_version));
@@ -137,7 +138,7 @@
 
 } // namespace
 
-TEST_CASE("a published version is in force everywhere within 4 s")
+TEST_CASE("a published version is in force on all nodes within 4 s")
 {
     const auto nodes = GENERATE(8, 56);
     control_fake_network<> net(Seed);
@@ -152,11 +153,11 @@
     }
 }
 
-TEST_CASE("a version reaches nodes that the platform doesn't, from those that it does")
+TEST_CASE("a data centre that was cut off gets the current version within 4 s of reconnecting")
 {
     control_fake_network<> net(Seed);
     settle(net, 24, 4);
-    // The platform is lost for one data centre, whose nodes still reach the others.
+    // One data centre loses the platform and the other data centres.
     net.cut({{"dc-2", 2}});
     net.cutPlatform({2});
     net.run(1s);
@@ -170,7 +171,7 @@
     CHECK(taken <= InForceBound);
 }
 
-TEST_CASE("the death of all readers of a data centre delays a version by no more than 4 s")
+TEST_CASE("a version is in force within 4 s after all readers of a data centre were killed")
 {
     control_fake_network<> net(Seed);
     settle(net, 40, 4);
@@ -188,7 +189,7 @@
     CHECK(taken <= InForceBound);
 }
 
-TEST_CASE("the fleet reads the service at a rate that doesn't grow with its size")
+TEST_CASE("the read rate at the configuration service does not grow with the fleet")
 {
     std::map<std::size_t, std::uint64_t> calls;
     for (const std::size_t nodes : {16, 48}) {
@@ -205,7 +206,7 @@
     CHECK(calls[48] <= 5 * 24 + 12);
 }
 
-TEST_CASE("a fleet that restarts one by one before a stale service keeps its version")
+TEST_CASE("a rolling restart with a stale service keeps the newest version")
 {
     control_fake_network<> net(Seed);
     settle(net, 8, 4);
@@ -223,36 +224,36 @@
     CHECK(net.inForce(5));
 }
 
-TEST_CASE("without confirmation a restarted node serves what a stale service gives")
+TEST_CASE("without confirmation a restarted node serves the version of a stale service")
 {
-    control_fake_network<hasty_policy> net(Seed);
+    control_fake_network<serve_unconfirmed_policy> net(Seed);
     settle(net, 8, 4);
     net.publish(5, "five");
     net.run(5s);
     REQUIRE(net.inForce(5));
     net.publish(3, "three");
-    net.faults = {0, 0, 20ms, 40ms}; // the service is nearer than the peers
-    bool servedOld = false;
+    net.faults = {0, 0, 20ms, 40ms}; // the service answers faster than the peers
+    bool servedStale = false;
     for (std::size_t i = 0; i < net.size(); ++i) {
         net.start(i);
         for (int step = 0; step < 400; ++step) {
             net.run(5ms);
             const auto &keeper = *net.at(i).keeper;
-            servedOld = servedOld || (keeper.readyToServe() && keeper.stamp().version == 3);
+            servedStale = servedStale || (keeper.readyToServe() && keeper.stamp().version == 3);
         }
     }
-    CHECK(servedOld);
+    CHECK(servedStale);
 }
 
-TEST_CASE("versions never go back and the fleet converges after any drawn faults")
+TEST_CASE("versions never regress and the fleet converges after random faults")
 {
     std::uint64_t events = 0;
     rc::prop("", [&events] {
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
         fault_script<forward_only_policy> script(seed);
-        script.play(40);
+        script.runSteps(40);
         auto &net = script.network();
-        RC_ASSERT(!anyWentBack(net));
+        RC_ASSERT(!anyRegressed(net));
         script.repair();
         const auto version = script.publishNext();
         const auto taken = net.runUntil([&] { return net.inForce(version); }, 2 * InForceBound);
@@ -260,22 +261,22 @@
         RC_LOG(std::to_string(taken.count()) + " ms to version " + std::to_string(version));
         RC_ASSERT(taken <= InForceBound);
         RC_ASSERT(net.agreed());
-        RC_ASSERT(!anyWentBack(net));
+        RC_ASSERT(!anyRegressed(net));
         for (std::size_t i = 0; i < net.size(); ++i)
             RC_ASSERT(net.at(i).keeper->readyToServe());
     });
     std::cout << "control plane: " << events << " events\n";
 }
 
-TEST_CASE("the drawn faults do take a version back when the guard is out")
+TEST_CASE("random faults cause a regression when nodes accept any offered version")
 {
-    int wentBack = 0;
+    int regressed = 0;
     constexpr int Scripts = 20;
     for (int i = 0; i < Scripts; ++i) {
         fault_script<trusting_policy> script(Seed + i);
-        script.play(40);
-        wentBack += anyWentBack(script.network()) ? 1 : 0;
+        script.runSteps(40);
+        regressed += anyRegressed(script.network()) ? 1 : 0;
     }
-    CAPTURE(wentBack);
-    CHECK(wentBack >= Scripts / 4);
+    CAPTURE(regressed);
+    CHECK(regressed >= Scripts / 4);
 }
--- a/tests/core/node_test.cpp
+++ b/tests/core/node_test.cpp
@@ -85,7 +85,7 @@
     return settings;
 }
 
-/// A node with a configuration, three VMs and a backend that the test plays.
+/// A node with a configuration and three members. The test acts as the backend servers.
 struct node_harness
 {
     explicit node_harness(const std::string &name = "vm-1")
@@ -114,7 +114,7 @@
         return state.submit(std::move(request), out);
     }
 
-    /// Takes the actions of one kind out.
+    /// Removes the actions of one type and returns them.
     template <class Action>
     std::vector<Action> take()
     {
@@ -128,7 +128,7 @@
         return found;
     }
 
-    /// Takes the one attempt that is to be sent, and sends it.
+    /// Removes the only `send_attempt`, marks it as sent and returns it.
     send_attempt takeSent()
     {
         const auto sent = take<send_attempt>();
@@ -140,14 +140,14 @@
 
     void answer(const send_attempt &sent, const std::string &output = "\"done\"")
     {
-        attempt_answer whole;
-        whole.key = sent.key;
-        whole.echoed = sent.key;
-        whole.output = std::make_shared<const std::string>(output);
-        state.onAnswer(whole, out);
+        attempt_answer response;
+        response.key = sent.key;
+        response.echoed = sent.key;
+        response.output = std::make_shared<const std::string>(output);
+        state.onAnswer(response, out);
     }
 
-    /// Takes the one end that is due.
+    /// Removes the only `end_request` and returns it.
     end_request takeEnd()
     {
         const auto ends = take<end_request>();
@@ -162,7 +162,7 @@
 
 } // namespace
 
-TEST_CASE("inputs in flight are bounded, and what has ended counts no more")
+TEST_CASE("inputs of open requests are bounded and ended requests no longer count")
 {
     node_harness harness;
     harness.submit("ask", "", std::string(600, '1'));
@@ -179,7 +179,7 @@
     CHECK(harness.take<send_attempt>().size() == 1);
 }
 
-TEST_CASE("what stages have answered counts as held until the request has ended")
+TEST_CASE("stage outputs count as held bytes until the request ends")
 {
     node_harness harness;
     harness.submit("two");
@@ -191,7 +191,7 @@
     CHECK(harness.state.heldBytes() == 0);
 }
 
-TEST_CASE("a request that its caller marks as not repeatable isn't sent again")
+TEST_CASE("a request marked as not repeatable by its caller is not retried")
 {
     node_harness harness;
     caller_request request;
@@ -207,7 +207,7 @@
     CHECK(toName(end.answer.outcome) == toName(outcome::Unknown));
 }
 
-TEST_CASE("copies of a ticket's request get the answer of the one run")
+TEST_CASE("copies of a request with a ticket get the answer of its only run")
 {
     node_harness harness;
     const auto ticket = harness.state.mintTicket();
@@ -230,7 +230,7 @@
     CHECK(harness.state.idle());
 }
 
-TEST_CASE("a copy that waits for the one run ends at its own deadline")
+TEST_CASE("a copy attached to a running request ends at its own deadline")
 {
     node_harness harness;
     const auto ticket = harness.state.mintTicket();
@@ -251,27 +251,27 @@
     CHECK(found->answer.outcome != outcome::Answered);
 }
 
-TEST_CASE("a call with a ticket goes on when its caller leaves, another is given up")
+TEST_CASE("a call with a ticket continues after its caller disconnects and others are cancelled")
 {
     node_harness harness;
     const auto ticket = harness.state.mintTicket();
-    const request_id named = harness.submit("pay", *ticket);
+    const request_id withTicket = harness.submit("pay", *ticket);
     const auto sent = harness.takeSent();
-    harness.state.cancel(named, harness.out);
+    harness.state.cancel(withTicket, harness.out);
     CHECK(harness.take<cancel_attempt>().empty());
     harness.answer(sent);
     harness.out.clear();
     harness.submit("pay", *ticket);
     CHECK(harness.takeEnd().answer.outcome == outcome::Answered);
 
-    const request_id bare = harness.submit("ask");
+    const request_id withoutTicket = harness.submit("ask");
     harness.takeSent();
-    harness.state.cancel(bare, harness.out);
+    harness.state.cancel(withoutTicket, harness.out);
     CHECK(harness.take<cancel_attempt>().size() == 1);
     CHECK(harness.takeEnd().answer.outcome == outcome::Failed);
 }
 
-TEST_CASE("a ticket of another VM is handed to it, and silence there means unknown")
+TEST_CASE("a ticket of another VM is forwarded to it and the outcome is unknown if that fails")
 {
     node_harness minter("vm-2");
     const auto ticket = minter.state.mintTicket();
@@ -287,7 +287,7 @@
     CHECK(end.answer.reason == refusal_reason::HomeUnreachable);
 }
 
-TEST_CASE("a request that came from a peer isn't handed on in a circle")
+TEST_CASE("a request with a ticket that a peer forwarded is not forwarded again")
 {
     node_harness minter("vm-2");
     const auto ticket = minter.state.mintTicket();
@@ -305,7 +305,7 @@
     CHECK(harness.takeEnd().answer.outcome == outcome::Unknown);
 }
 
-TEST_CASE("a bare key goes to the customer's home data centre, and comes back to no third one")
+TEST_CASE("a key is forwarded to the customer's home data centre unless a peer forwarded it")
 {
     const bool fromThere = GENERATE(false, true);
     CAPTURE(fromThere);
@@ -327,7 +327,7 @@
         CHECK(forwarded[0].vm.value == "vm-3");
 }
 
-TEST_CASE("a refusal of a ticket's request is remembered, so that no late copy runs")
+TEST_CASE("a refused request with a ticket is recorded so that no delayed copy runs")
 {
     node_harness harness;
     const auto ticket = harness.state.mintTicket();
@@ -340,7 +340,7 @@
     CHECK(harness.take<send_attempt>().empty());
 }
 
-TEST_CASE("a node without a confirmed configuration takes nothing on")
+TEST_CASE("a node that is unconfirmed or stopping refuses requests")
 {
     node_harness harness;
     const auto state = GENERATE(admission_state::Unconfirmed, admission_state::Stopping);
@@ -352,7 +352,7 @@
     CHECK(harness.take<send_attempt>().empty());
 }
 
-TEST_CASE("the trace of a request has its decisions and its end")
+TEST_CASE("the trace of a request holds its decisions and its answer")
 {
     node_harness harness;
     const request_id id = harness.submit("ask");
--- a/tests/core/planned_stop_test.cpp
+++ b/tests/core/planned_stop_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a node that isn't asked to stop goes on")
+TEST_CASE("a node that was not asked to stop keeps running")
 {
     stop_harness harness;
     harness.progress = {true, true, true, {}};
@@ -33,7 +33,7 @@
     CHECK(harness.stop.phase() == stop_phase::Running);
 }
 
-TEST_CASE("even an idle node serves until the balancer has noticed")
+TEST_CASE("an idle node serves for the whole notice period")
 {
     stop_harness harness;
     harness.progress = {true, true, true, {}};
@@ -44,7 +44,7 @@
     CHECK(harness.stop.phase() == stop_phase::Draining);
 }
 
-TEST_CASE("a node waits for requests, keys and last answers, each within its bound")
+TEST_CASE("a stop waits for open requests and the key handover and then for the last answers")
 {
     stop_harness harness;
     harness.stop.begin();
@@ -59,7 +59,7 @@
     CHECK(harness.stop.phase() == stop_phase::Stopped);
 }
 
-TEST_CASE("a request is waited for until its deadline, even beyond the bound")
+TEST_CASE("an open request extends the drain phase to its deadline")
 {
     stop_harness harness;
     harness.progress.lastDeadline = harness.clock.now() + Notice + 2 * Drain;
@@ -69,7 +69,7 @@
     CHECK(harness.stop.phase() == stop_phase::Draining);
 }
 
-TEST_CASE("a request that goes on after its deadline doesn't keep the node for ever")
+TEST_CASE("a request that outlives its deadline does not block the stop")
 {
     stop_harness harness;
     harness.stop.begin();
@@ -80,7 +80,7 @@
     CHECK(harness.stop.phase() == stop_phase::Closing);
 }
 
-TEST_CASE("keys that nobody takes over don't keep an idle node for ever")
+TEST_CASE("keys that no peer takes over do not block the stop of an idle node")
 {
     stop_harness harness;
     harness.progress = {true, false, false, {}};
@@ -90,7 +90,7 @@
     CHECK(harness.stop.phase() == stop_phase::Closing);
 }
 
-TEST_CASE("a second order to stop doesn't begin anew")
+TEST_CASE("a second begin does not restart the stop")
 {
     stop_harness harness;
     harness.stop.begin();
