--- a/examples/configuration_keeper_example.cpp
+++ b/examples/configuration_keeper_example.cpp
@@ -1,5 +1,5 @@
-// Shows two nodes that keep one published configuration in force: one reads it from the service,
-// the other gets it from that peer, and neither goes back when the service does.
+// Two nodes with the same published configuration: one reads it from the service, the other fetches
+// it from that peer. Neither returns to an older version when the service does.
 
 #include "claims.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-using text_keeper = configuration_keeper<std::string>; // a real program has a type of its own
+using text_keeper = configuration_keeper<std::string>; // a real program uses its own type
 using text_actions = text_keeper::actions;
 
-/// Takes the place of the configuration service.
+/// Stands in for the configuration service.
 struct fake_service
 {
     std::uint64_t version = 0; ///< 0: the service is down
@@ -28,7 +28,7 @@
 result<text_keeper::configuration_ptr, std::vector<std::string>> check(std::uint64_t,
                                                                        std::string_view content)
 {
-    return std::make_shared<const std::string>(content); // a real one parses and may refuse
+    return std::make_shared<const std::string>(content); // a real one parses and may reject
 }
 
 text_keeper makeKeeper(const clock_source &clock, const std::string &name)
@@ -36,21 +36,21 @@
     return {clock, {.self = makeVm(name), .readersPerDataCenter = 1}, check};
 }
 
-/// Carries out what its keeper asks for; in place of the network it calls its peer.
+/// Executes the actions of its keeper; calls the peer directly instead of over a network.
 struct node
 {
     [[nodiscard]] std::uint64_t version() const { return keeper.stamp().version; }
 
-    /// Does what a daemon does every 50 ms.
+    /// Runs one step; a daemon does so every 50 ms.
     void step(const fake_service &service, const node &peer)
     {
         text_actions actions;
         keeper.tick(actions);
-        keeper.onPeerVersion(peer.vm, peer.keeper.stamp(), std::nullopt, actions); // as by gossip
+        keeper.onPeerVersion(peer.vm, peer.keeper.stamp(), std::nullopt, actions); // by gossip
         if (watch.call != 0 && (service.version == 0 || service.version > watch.after))
             answer(std::exchange(watch, {}), service, actions);
-        for (std::size_t i = 0; i < actions.size(); ++i) // carrying one out may append more
-            carryOut(text_keeper::action{actions[i]}, service, peer, actions);
+        for (std::size_t i = 0; i < actions.size(); ++i) // an action may append others
+            execute(text_keeper::action{actions[i]}, service, peer, actions);
     }
 
     void answer(const fetch_from_service &call, const fake_service &service, text_actions &out)
@@ -60,11 +60,11 @@
         else if (call.wait == 0ms || service.version > call.after)
             keeper.onServiceRead(call.call, service.version, service.content, out);
         else
-            watch = call; // a long poll: answered when there is something newer
+            watch = call; // a long poll, answered once a newer version exists
     }
 
-    void carryOut(const text_keeper::action &action, const fake_service &service, const node &peer,
-                  text_actions &out)
+    void execute(const text_keeper::action &action, const fake_service &service, const node &peer,
+                 text_actions &out)
     {
         if (const auto *call = std::get_if<fetch_from_service>(&action))
             answer(*call, service, out);
@@ -73,11 +73,12 @@
         if (std::holds_alternative<ask_peers>(action))
             keeper.onPeerVersion(peer.vm, peer.keeper.stamp(), clock.now(), out);
         if (const auto *adopted = std::get_if<adopt_configuration<std::string>>(&action)) {
-            std::cout << vm.value << " gets it from the " << toName(adopted->source) << '\n';
+            std::cout << vm.value << " adopts a configuration from the " << toName(adopted->source)
+                      << '\n';
             source = adopted->source;
         }
         if (const auto *report = std::get_if<keeper_report>(&action))
-            sawStale |= report->event == keeper_event::StaleService;
+            serviceWasStale |= report->event == keeper_event::StaleService;
     }
 
     const clock_source &clock;
@@ -85,7 +86,7 @@
     text_keeper keeper;
     fetch_from_service watch{}; // call 0: none
     configuration_source source = configuration_source::Service;
-    bool sawStale = false;
+    bool serviceWasStale = false;
 };
 
 } // namespace
@@ -98,7 +99,7 @@
     node second{clock, vm_id{"vm-2"}, makeKeeper(clock, "vm-2")};
     const std::vector<member> members{{makeVm("vm-1"), 1, member_state::Alive, clock.now(), true},
                                       {makeVm("vm-2"), 2, member_state::Alive, clock.now(), true}};
-    first.keeper.setMembers(members); // in a daemon they come from a membership
+    first.keeper.setMembers(members); // in a daemon the membership provides them
     second.keeper.setMembers(members);
     const auto run = [&](const fake_service &service) {
         for (int i = 0; i < 100; ++i, clock.advance(50ms)) { // five seconds
@@ -107,13 +108,18 @@
         }
     };
     run({12, "good morning"});
-    shown.check(first.version() == 12 && second.version() == 12, "both have version 12");
-    shown.check(first.keeper.readyToServe() && second.keeper.readyToServe(), "both may serve");
-    shown.check(first.source != second.source, "one from the service, the other from its peer");
-    shown.check(!first.sawStale && !second.sawStale, "the service was up to date until now");
-    run({}); // it goes down, and comes back from an old backup
+    shown.check(first.version() == 12 && second.version() == 12, "both nodes have version 12");
+    shown.check(first.keeper.readyToServe() && second.keeper.readyToServe(),
+                "both nodes may serve");
+    shown.check(first.source != second.source,
+                "one got it from the service, the other from its peer");
+    shown.check(!first.serviceWasStale && !second.serviceWasStale,
+                "the service was not stale so far");
+    run({}); // the service stops and is restored from an old backup
     run({11, "hello"});
-    shown.check(first.sawStale || second.sawStale, "now it offered version 11");
-    shown.check(first.version() == 12 && second.version() == 12, "and refused: both still have 12");
+    shown.check(first.serviceWasStale || second.serviceWasStale,
+                "the restored service offered version 11");
+    shown.check(first.version() == 12 && second.version() == 12,
+                "version 11 was ignored: both nodes still have 12");
     return shown.exitCode();
 }
--- a/src/core/configuration/configuration_keeper.cpp
+++ b/src/core/configuration/configuration_keeper.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-std::vector<vm_id> aliveHere(const listed_vm &self, std::span<const member> members)
+std::vector<vm_id> aliveInDataCenter(const listed_vm &self, std::span<const member> members)
 {
     std::vector<vm_id> alive{self.vm};
     for (const member &candidate : members) {
-        const bool here = candidate.vm.dataCenter == self.dataCenter;
-        if (here && candidate.state == member_state::Alive && candidate.vm.vm != self.vm)
+        const bool sameDataCenter = candidate.vm.dataCenter == self.dataCenter;
+        if (sameDataCenter && candidate.state == member_state::Alive && candidate.vm.vm != self.vm)
             alive.push_back(candidate.vm.vm);
     }
     return alive;
@@ -35,35 +35,35 @@
 
 } // namespace
 
-// A suspected reader is replaced at once: a needless watch costs one call, a missing one costs the
-// data centre its news.
+// A suspected reader is replaced at once: an unnecessary watch costs one call, whereas without a
+// reader the data centre receives no new versions.
 bool isConfigurationReader(const listed_vm &self, std::span<const member> members,
                            std::size_t count)
 {
-    return contains(pickReaders(aliveHere(self, members), count), self.vm);
+    return contains(pickReaders(aliveInDataCenter(self, members), count), self.vm);
 }
 
-// The readers and then the others, in an order that all nodes work out alike, form a heap: the
-// children of the node at place p are at readers + p * fanout and the places after it.
+// All nodes compute the same order: first the readers, then the others. The order is the layout of
+// a heap: the `fanout` children of the node at index i begin at index readers + i * fanout.
 fetch_position fetchPosition(const listed_vm &self, std::span<const member> members,
                              std::size_t readers, std::size_t fanout, std::uint64_t version)
 {
-    auto alive = aliveHere(self, members);
+    auto alive = aliveInDataCenter(self, members);
     auto order = pickReaders(alive, readers);
     const std::size_t roots = order.size();
     std::erase_if(alive, [&order](const vm_id &vm) { return contains(order, vm); });
     const auto key = "configuration-fetch/" + std::to_string(version);
     for (auto &vm : rendezvousPick(key, alive, alive.size()))
         order.push_back(std::move(vm));
-    auto place =
+    auto index =
         static_cast<std::size_t>(std::find(order.begin(), order.end(), self.vm) - order.begin());
     fetch_position position;
-    if (place < roots || fanout == 0)
+    if (index < roots || fanout == 0)
         return position;
-    place = (place - roots) / fanout;
-    position.parent = order[place];
-    while (place >= roots) {
-        place = (place - roots) / fanout;
+    index = (index - roots) / fanout;
+    position.parent = order[index];
+    while (index >= roots) {
+        index = (index - roots) / fanout;
         position.depth++;
     }
     return position;
--- a/src/core/configuration/parse_parameters.cpp
+++ b/src/core/configuration/parse_parameters.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::size_t MaxParameters = 32;
-constexpr std::size_t MaxAllowed = 64;
+constexpr std::size_t MaxAllowedValues = 64;
 
-/// Reads a value of the parameter's type, within its bounds.
-std::optional<parameter_value> readOfType(const value_reader &reader,
-                                          const template_parameter &parameter)
+/// Reads a value of the parameter's type that is within its bounds.
+std::optional<parameter_value> readTypedValue(const value_reader &reader,
+                                              const template_parameter &parameter)
 {
     const auto wrap = [](auto &&read) {
         return read ? std::optional<parameter_value>(std::move(*read)) : std::nullopt;
@@ -44,7 +44,7 @@
 std::optional<parameter_value> readValue(const value_reader &reader,
                                          const template_parameter &parameter)
 {
-    auto value = readOfType(reader, parameter);
+    auto value = readTypedValue(reader, parameter);
     if (!value || parameter.allowed.empty())
         return value;
     if (std::find(parameter.allowed.begin(), parameter.allowed.end(), *value)
@@ -84,15 +84,16 @@
     if (!allowed)
         return;
     std::vector<parameter_value> values;
-    allowed->forEach(1, MaxAllowed, [&](const value_reader &each) {
-        if (auto value = readOfType(each, parameter))
+    allowed->forEach(1, MaxAllowedValues, [&](const value_reader &each) {
+        if (auto value = readTypedValue(each, parameter))
             values.push_back(std::move(*value));
     });
     parameter.allowed = std::move(values);
 }
 
-/// Reads what the type decides about.
-void parseTyped(const value_reader &reader, mapping_reader &mapping, template_parameter &parameter)
+/// Parses the keys whose values depend on the parameter's type.
+void parseTypeDependentKeys(const value_reader &reader, mapping_reader &mapping,
+                            template_parameter &parameter)
 {
     parseBounds(mapping, parameter);
     parseAllowed(mapping, parameter);
@@ -116,7 +117,7 @@
     mapping.read("required", presence::Optional, parameter.required, &value_reader::boolean);
     parameter.type = type.value_or(parameter_type::String);
     if (type) {
-        parseTyped(reader, mapping, parameter);
+        parseTypeDependentKeys(reader, mapping, parameter);
     } else {
         for (const std::string_view key : {"min", "max", "allowed", "default"})
             (void)mapping.find(key);
@@ -124,10 +125,10 @@
     return parameter;
 }
 
-void refuseUnknownParameters(const value_reader &parameters, const pipeline_template &used)
+void rejectUnknownParameters(const value_reader &parameters, const pipeline_template &definition)
 {
     mapping_reader mapping(parameters);
-    for (const auto &parameter : used.parameters)
+    for (const auto &parameter : definition.parameters)
         (void)mapping.find(parameter.name);
 }
 
@@ -137,7 +138,7 @@
 {
     std::vector<stage_id> stages;
     const std::size_t errorsBefore = reader.errors().size();
-    reader.forEach(1, MaxStagesOfTemplate, [&](const value_reader &each) {
+    reader.forEach(1, MaxStagesPerTemplate, [&](const value_reader &each) {
         auto name = each.name();
         if (!name)
             return;
@@ -160,10 +161,10 @@
         return parameters;
     list->forEach(0, MaxParameters, [&](const value_reader &each) {
         template_parameter added = parseParameter(each);
-        const bool taken =
+        const bool duplicate =
             std::any_of(parameters.begin(), parameters.end(),
                         [&](const template_parameter &other) { return other.name == added.name; });
-        if (taken)
+        if (duplicate)
             each.fail("a name that no other parameter of this template has");
         parameters.push_back(std::move(added));
     });
@@ -172,12 +173,12 @@
 
 std::vector<parameter_value> parseParameterValues(const value_reader &pipeline,
                                                   const std::optional<value_reader> &parameters,
-                                                  const pipeline_template &used)
+                                                  const pipeline_template &definition)
 {
     std::vector<parameter_value> values;
     if (parameters)
-        refuseUnknownParameters(*parameters, used);
-    for (const auto &parameter : used.parameters) {
+        rejectUnknownParameters(*parameters, definition);
+    for (const auto &parameter : definition.parameters) {
         const yaml_value *given =
             parameters ? findKey(parameters->value(), parameter.name) : nullptr;
         std::optional<parameter_value> value = parameter.defaultValue;
--- a/src/core/configuration/parse_parameters.h
+++ b/src/core/configuration/parse_parameters.h
@@ -7,21 +7,21 @@
 #include <optional>
 #include <vector>
 
-/// The part of the parser of published configurations that deals with parameters of templates.
+/// Parsing of template parameters in published configurations.
 namespace orchidlead {
 
-inline constexpr std::size_t MaxStagesOfTemplate = 32;
+inline constexpr std::size_t MaxStagesPerTemplate = 32;
 
-/// Reads a list of stage names without doubled ones.
+/// Reads a list of distinct stage names.
 [[nodiscard]] std::optional<std::vector<stage_id>> readStageNames(const value_reader &reader);
 
-/// Reads the `parameters` of a template.
+/// Parses the `parameters` of a template.
 [[nodiscard]] std::vector<template_parameter> parseParameters(mapping_reader &mapping);
 
-/// Reads a customer's parameters, and fills in the defaults of those that aren't given.
-/// `pipeline` is blamed for missing ones.
+/// Reads the parameter values of a customer and adds the defaults of omitted parameters. Errors
+/// about missing parameters refer to `pipeline`.
 [[nodiscard]] std::vector<parameter_value>
 parseParameterValues(const value_reader &pipeline, const std::optional<value_reader> &parameters,
-                     const pipeline_template &used);
+                     const pipeline_template &definition);
 
 } // namespace orchidlead
--- a/src/core/configuration/parse_published_configuration.cpp
+++ b/src/core/configuration/parse_published_configuration.cpp
@@ -16,23 +16,23 @@
 constexpr std::int64_t FormatVersion = 1;
 constexpr std::size_t MaxDataCenters = 64;
 constexpr std::size_t MaxServices = 256;
-constexpr std::size_t MaxServersOfService = 4096;
-constexpr std::size_t MaxModels = 256;
+constexpr std::size_t MaxServersPerService = 4096;
+constexpr std::size_t MaxModelsPerService = 256;
 constexpr std::size_t MaxTemplates = 256;
 constexpr std::size_t MaxCustomers = 100'000;
-constexpr std::size_t MaxPipelinesOfCustomer = 64;
+constexpr std::size_t MaxPipelinesPerCustomer = 64;
 constexpr std::int64_t MaxWeight = 1000;
 constexpr std::int64_t MaxCustomerLimit = 1'000'000;
 
-/// Names that have to be unique in one list, or in several.
+/// Reads names that must be unique within one or several lists.
 class unique_names
 {
 public:
-    explicit unique_names(std::string_view what)
-        : m_what(what)
+    explicit unique_names(std::string_view itemKind)
+        : m_itemKind(itemKind)
     { }
 
-    /// Reads the key `key` of a mapping as a new name.
+    /// Reads the value of `key` as a name that has not occurred before.
     std::optional<std::string> read(mapping_reader &mapping, std::string_view key)
     {
         const auto found = mapping.find(key, presence::Required);
@@ -43,18 +43,18 @@
     {
         auto name = reader.name();
         if (name && !m_seen.insert(*name).second) {
-            reader.fail("a name that no other " + std::string(m_what) + " has");
+            reader.fail("a name that no other " + std::string(m_itemKind) + " has");
             return std::nullopt;
         }
         return name;
     }
 
 private:
-    std::string_view m_what;
+    std::string_view m_itemKind;
     std::unordered_set<std::string> m_seen;
 };
 
-/// Reads the lists in the order in which they refer to each other.
+/// Parses the lists of the document; each list refers only to those parsed before it.
 class published_configuration_parser
 {
 public:
@@ -70,11 +70,12 @@
         parseDataCenters(mapping);
         parseServices(mapping);
         parseTemplates(mapping);
-        // Customers refer to all of the above: errors there would only be repeated here.
+        // Customers refer to all other lists, whose errors would cause further errors here.
         const auto customers = mapping.find("customers", presence::Required);
         if (!customers || !root.errors().empty())
             return;
-        customers->forEach(0, MaxCustomers, [&](const value_reader &each) { parseEntry(each); });
+        customers->forEach(0, MaxCustomers,
+                           [&](const value_reader &each) { parseCustomerEntry(each); });
     }
 
 private:
@@ -93,7 +94,7 @@
         });
     }
 
-    std::optional<data_center_id> dataCenter(const value_reader &reader) const
+    std::optional<data_center_id> readDataCenter(const value_reader &reader) const
     {
         const auto name = reader.name();
         if (!name)
@@ -125,7 +126,7 @@
         mapping.read("repeatable", presence::Optional, added.repeatable, &value_reader::boolean);
         parseModels(mapping, added);
         if (const auto servers = mapping.find("servers", presence::Required)) {
-            servers->forEach(0, MaxServersOfService,
+            servers->forEach(0, MaxServersPerService,
                              [&](const value_reader &each) { parseServer(each, added); });
         }
     }
@@ -142,7 +143,7 @@
             return;
         }
         unique_names names("model of this service");
-        models->forEach(1, MaxModels, [&](const value_reader &each) {
+        models->forEach(1, MaxModelsPerService, [&](const value_reader &each) {
             if (auto name = names.read(each))
                 target.models.push_back(std::move(*name));
         });
@@ -155,21 +156,22 @@
         if (auto name = m_serverNames.read(mapping, "name"))
             added.id = backend_server_id(std::move(*name));
         mapping.read("address", presence::Required, added.address,
-                     [&](const value_reader &each) { return newAddress(each, target); });
+                     [&](const value_reader &each) { return readUniqueAddress(each, target); });
         mapping.read("data_center", presence::Required, added.dataCenter,
-                     [&](const value_reader &each) { return dataCenter(each); });
+                     [&](const value_reader &each) { return readDataCenter(each); });
     }
 
-    // The same process may serve two services, but in one it would get twice its share.
-    static std::optional<socket_address> newAddress(const value_reader &reader,
-                                                    const service &target)
+    // A process may serve two services, but with two entries in one service it would receive twice
+    // its share of the calls.
+    static std::optional<socket_address> readUniqueAddress(const value_reader &reader,
+                                                           const service &target)
     {
         auto address = reader.address();
         const auto &servers = target.servers;
-        const bool taken = address
+        const bool duplicate = address
             && std::any_of(servers.begin(), servers.end(),
                            [&](const backend_server &each) { return each.address == *address; });
-        if (!taken)
+        if (!duplicate)
             return address;
         reader.fail("an address that no other backend server of this service has");
         return std::nullopt;
@@ -191,22 +193,22 @@
         });
     }
 
-    // One entry names one customer or many that share everything else, so that 21,000 customers
-    // fit a document and a node's memory.
-    void parseEntry(const value_reader &reader)
+    // An entry names one customer or several customers with the same settings: otherwise 21,000
+    // customers would fit neither a document nor the memory of a node.
+    void parseCustomerEntry(const value_reader &reader)
     {
         mapping_reader mapping(reader);
         auto settings = std::make_shared<customer_settings>();
-        const auto one = mapping.find("name");
-        const auto many = mapping.find("names");
-        if (one.has_value() == many.has_value())
+        const auto singleName = mapping.find("name");
+        const auto nameList = mapping.find("names");
+        if (singleName.has_value() == nameList.has_value())
             reader.fail("either `name` or `names`");
-        parseSettings(mapping, *settings);
-        if (one)
-            addCustomer(*one, settings);
-        if (many) {
-            many->forEach(1, MaxCustomers,
-                          [&](const value_reader &each) { addCustomer(each, settings); });
+        parseCustomerSettings(mapping, *settings);
+        if (singleName)
+            addCustomer(*singleName, settings);
+        if (nameList) {
+            nameList->forEach(1, MaxCustomers,
+                              [&](const value_reader &each) { addCustomer(each, settings); });
         }
     }
 
@@ -219,10 +221,10 @@
                 customer{customer_id(std::move(*name)), std::move(settings)});
     }
 
-    void parseSettings(mapping_reader &mapping, customer_settings &settings)
+    void parseCustomerSettings(mapping_reader &mapping, customer_settings &settings)
     {
         mapping.read("home_data_center", presence::Required, settings.homeDataCenter,
-                     [&](const value_reader &each) { return dataCenter(each); });
+                     [&](const value_reader &each) { return readDataCenter(each); });
         mapping.readInteger("weight", settings.weight, {1, MaxWeight});
         if (const auto limits = mapping.find("limits")) {
             mapping_reader entry(*limits);
@@ -233,7 +235,7 @@
         if (!pipelines)
             return;
         unique_names names("pipeline of this customer");
-        pipelines->forEach(0, MaxPipelinesOfCustomer, [&](const value_reader &each) {
+        pipelines->forEach(0, MaxPipelinesPerCustomer, [&](const value_reader &each) {
             parsePipeline(each, names, settings.pipelines);
         });
     }
@@ -247,19 +249,19 @@
         if (auto name = names.read(mapping, "name"))
             added.id = pipeline_id(std::move(*name));
         mapping.read("template", presence::Required, added.templateIndex,
-                     [&](const value_reader &each) { return findTemplate(each); });
+                     [&](const value_reader &each) { return readTemplateIndex(each); });
         const auto parameters = mapping.find("parameters");
         if (reader.errors().size() != errorsBefore)
             return;
-        const pipeline_template &used = m_configuration.templates[added.templateIndex];
-        added.values = parseParameterValues(reader, parameters, used);
+        const pipeline_template &definition = m_configuration.templates[added.templateIndex];
+        added.values = parseParameterValues(reader, parameters, definition);
         if (reader.errors().size() != errorsBefore)
             return;
-        checkRendering(reader, parameters, used, added);
+        checkRendering(reader, parameters, definition, added);
         pipelines.push_back(std::move(added));
     }
 
-    [[nodiscard]] std::optional<std::uint32_t> findTemplate(const value_reader &reader) const
+    [[nodiscard]] std::optional<std::uint32_t> readTemplateIndex(const value_reader &reader) const
     {
         const auto name = reader.name();
         if (!name)
@@ -272,19 +274,20 @@
         return std::nullopt;
     }
 
-    // Blames the parameter where it was given, else the pipeline.
+    // The error refers to the parameter if the customer sets it, otherwise to the pipeline.
     void checkRendering(const value_reader &reader, const std::optional<value_reader> &parameters,
-                        const pipeline_template &used, const customer_pipeline &pipeline) const
+                        const pipeline_template &definition,
+                        const customer_pipeline &pipeline) const
     {
         const auto rendered = renderTemplate(m_configuration, pipeline);
         if (rendered)
             return;
         const render_error &error = rendered.error();
         if (error.parameter && parameters) {
-            const std::string &name = used.parameters[*error.parameter].name;
+            const std::string &name = definition.parameters[*error.parameter].name;
             if (const yaml_value *given = findKey(parameters->value(), name)) {
-                const value_reader blamed(*given, *parameters, std::string_view(name));
-                reader.errors().add(*given, blamed.path(), error.value, error.expected);
+                const value_reader faulty(*given, *parameters, std::string_view(name));
+                reader.errors().add(*given, faulty.path(), error.value, error.expected);
                 return;
             }
         }
--- a/src/core/configuration/parse_template.cpp
+++ b/src/core/configuration/parse_template.cpp
@@ -11,12 +11,12 @@
 constexpr duration_range DeadlineRange{milliseconds{1}, std::chrono::hours{24}};
 constexpr duration_range TimeoutRange{milliseconds{1}, std::chrono::hours{24}};
 constexpr integer_range MaxTokensRange{1, 1'000'000};
-constexpr std::string_view StagePath = "/run";
-constexpr std::string_view EnginePath = "/v1/completions";
-constexpr std::string_view ReferenceStart = "${";
-constexpr std::string_view ReferenceEnd = "}";
+constexpr std::string_view DefaultStagePath = "/run";
+constexpr std::string_view DefaultEnginePath = "/v1/completions";
+constexpr std::string_view ReferencePrefix = "${";
+constexpr std::string_view ReferenceSuffix = "}";
 
-/// Reads values that may be written as `${parameter}`.
+/// Reads values that may be references of the form `${parameter}`.
 class template_value_reader
 {
 public:
@@ -24,7 +24,7 @@
         : m_parameters(parameters)
     { }
 
-    /// Reads a reference to a parameter of `type`, or else what `parse` reads.
+    /// Reads a reference to a parameter of `type`, or a literal value with `parse`.
     template <class T, class Parse>
     [[nodiscard]] std::optional<template_value<T>> read(const value_reader &reader,
                                                         parameter_type type, Parse parse) const
@@ -41,16 +41,16 @@
     static bool isReference(const yaml_value &value)
     {
         return value.kind == yaml_kind::Scalar
-            && std::string_view(value.scalar).starts_with(ReferenceStart)
-            && std::string_view(value.scalar).ends_with(ReferenceEnd);
+            && std::string_view(value.scalar).starts_with(ReferencePrefix)
+            && std::string_view(value.scalar).ends_with(ReferenceSuffix);
     }
 
     [[nodiscard]] std::optional<parameter_reference> findReference(const value_reader &reader,
                                                                    parameter_type type) const
     {
         std::string_view name = reader.value().scalar;
-        name.remove_prefix(ReferenceStart.size());
-        name.remove_suffix(ReferenceEnd.size());
+        name.remove_prefix(ReferencePrefix.size());
+        name.remove_suffix(ReferenceSuffix.size());
         for (std::uint32_t i = 0; i < m_parameters.size(); ++i) {
             if (m_parameters[i].name != name)
                 continue;
@@ -91,7 +91,7 @@
     return path;
 }
 
-/// Reads the stages of one template.
+/// Parses the stages of one template.
 class stage_parser
 {
 public:
@@ -102,7 +102,7 @@
 
     std::vector<template_stage> parse(const value_reader &list)
     {
-        list.forEach(1, MaxStagesOfTemplate, [&](const value_reader &each) { parseStage(each); });
+        list.forEach(1, MaxStagesPerTemplate, [&](const value_reader &each) { parseStage(each); });
         if (list.value().kind == yaml_kind::Sequence && !list.errors().full())
             parseInputs(list);
         return std::move(m_stages);
@@ -115,14 +115,14 @@
         template_stage stage;
         if (const auto name = mapping.find("name", presence::Required))
             readName(*name, stage);
-        // The service's kind and default decide how the rest is read.
+        // The kind and the defaults of the service determine how the other keys are read.
         std::optional<std::uint32_t> found;
         mapping.read("service", presence::Required, found,
                      [&](const value_reader &each) { return findService(each, m_services); });
-        const service unknown;
+        const service unknownService;
         stage.service = found.value_or(0);
-        parseCall(mapping, stage, found ? m_services[*found] : unknown);
-        (void)mapping.find("after"); // read once all names are known
+        parseCall(mapping, stage, found ? m_services[*found] : unknownService);
+        (void)mapping.find("after"); // parsed by parseInputs
         m_stages.push_back(std::move(stage));
     }
 
@@ -139,7 +139,7 @@
     void parseCall(mapping_reader &mapping, template_stage &stage, const service &called) const
     {
         const bool isEngine = called.kind == service_kind::Engine;
-        stage.path = isEngine ? EnginePath : StagePath;
+        stage.path = isEngine ? DefaultEnginePath : DefaultStagePath;
         stage.repeatable = called.repeatable;
         mapping.read("path", presence::Optional, stage.path, readPath);
         mapping.read("repeatable", presence::Optional, stage.repeatable, &value_reader::boolean);
@@ -174,14 +174,16 @@
     static std::optional<std::string> readModel(const value_reader &reader, const service &called)
     {
         auto model = reader.text();
-        const auto &known = called.models;
-        if (model && std::find(known.begin(), known.end(), *model) == known.end()) {
+        const auto &servedModels = called.models;
+        if (model
+            && std::find(servedModels.begin(), servedModels.end(), *model) == servedModels.end()) {
             reader.fail("one of the service's models");
             return std::nullopt;
         }
         return model;
     }
 
+    // Inputs may refer to later stages, so they are parsed when all stages have names.
     void parseInputs(const value_reader &list)
     {
         const auto &items = list.value().items;
@@ -192,13 +194,13 @@
             const value_reader stage(items[i], list, i);
             m_stages[i].after = readInputs(value_reader(*after, stage, "after"));
         }
-        refuseCycles(list);
+        rejectCycles(list);
     }
 
     [[nodiscard]] std::vector<std::uint32_t> readInputs(const value_reader &reader) const
     {
         std::vector<std::uint32_t> inputs;
-        reader.forEach(0, MaxStagesOfTemplate, [&](const value_reader &each) {
+        reader.forEach(0, MaxStagesPerTemplate, [&](const value_reader &each) {
             const auto name = each.name();
             if (!name)
                 return;
@@ -222,34 +224,33 @@
         return std::nullopt;
     }
 
-    // Takes away stages whose inputs are all gone until none is left; what remains is in a cycle
-    // or behind one. The first in the text that reaches itself is blamed.
-    void refuseCycles(const value_reader &list) const
+    // Reports the first stage of the template that depends on itself.
+    void rejectCycles(const value_reader &list) const
     {
         for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
             std::vector<bool> seen(m_stages.size(), false);
-            if (!reaches(i, i, seen))
+            if (!dependsOn(i, i, seen))
                 continue;
             const value_reader stage(list.value().items[i], list, std::size_t{i});
             const yaml_value *after = findKey(list.value().items[i], "after");
             value_reader(*after, stage, "after")
-                .fail("inputs that don't wait for this stage (cycle)");
+                .fail("inputs that don't depend on this stage (cycle)");
             return;
         }
     }
 
-    [[nodiscard]] bool reaches(std::uint32_t from, std::uint32_t goal,
-                               std::vector<bool> &seen) const
+    [[nodiscard]] bool dependsOn(std::uint32_t from, std::uint32_t target,
+                                 std::vector<bool> &seen) const
     {
         if (!m_stages[from].after)
             return false;
         for (const std::uint32_t input : *m_stages[from].after) {
-            if (input == goal)
+            if (input == target)
                 return true;
             if (seen[input])
                 continue;
             seen[input] = true;
-            if (reaches(input, goal, seen))
+            if (dependsOn(input, target, seen))
                 return true;
         }
         return false;
@@ -267,7 +268,7 @@
     pipeline_template parsed;
     const std::size_t errorsBefore = mapping.reader().errors().size();
     parsed.parameters = parseParameters(mapping);
-    // References to parameters that weren't understood would only repeat their errors.
+    // References to invalid parameters would only cause further errors about the same parameters.
     if (mapping.reader().errors().size() != errorsBefore) {
         for (const std::string_view key : {"deadline", "priority", "run", "stages"})
             (void)mapping.find(key);
--- a/src/core/configuration/parse_template.h
+++ b/src/core/configuration/parse_template.h
@@ -5,10 +5,10 @@
 
 #include <vector>
 
-/// The part of the parser of published configurations that deals with templates.
+/// Parsing of templates in published configurations.
 namespace orchidlead {
 
-/// Reads everything of a template but its name, and adds an error for whatever is wrong.
+/// Parses a template except its name; adds an error for each invalid value.
 [[nodiscard]] pipeline_template parseTemplate(mapping_reader &mapping,
                                               const std::vector<service> &services);
 
--- a/src/core/configuration/pipeline.h
+++ b/src/core/configuration/pipeline.h
@@ -12,7 +12,7 @@
 
 namespace orchidlead {
 
-/// What kind of backend server a service has; decides the wire protocol.
+/// Kind of the backend servers of a service; determines the wire protocol.
 enum class service_kind { Encoder, Retriever, Reranker, Engine, Plain };
 
 template <>
@@ -24,7 +24,7 @@
     enum_name<service_kind>{service_kind::Plain, "plain"},
 };
 
-/// Order between requests: a lower value goes first.
+/// Priority of requests; a lower value is served first.
 enum class priority { High, Normal, Low };
 
 template <>
@@ -34,7 +34,7 @@
     enum_name<priority>{priority::Low, "low"},
 };
 
-/// Bytes that are handed from stage to stage without being copied.
+/// Bytes that are passed between stages without copying.
 using payload = std::shared_ptr<const std::string>;
 
 /// One stage of a rendered pipeline.
@@ -44,34 +44,34 @@
     service_id service;
     service_kind kind = service_kind::Plain;
     std::string path; ///< request path on the backend server
-    bool repeatable = true; ///< whether a second run does no harm
-    std::vector<std::uint32_t>
-        inputs; ///< indices of the stages it waits for; all lower than its own
-    milliseconds timeout{0}; ///< longest time for one attempt; 0: the request's deadline alone
+    bool repeatable = true; ///< whether the stage may run more than once
+    /// Indices of the stages whose outputs it takes; all lower than its own.
+    std::vector<std::uint32_t> inputs;
+    milliseconds timeout{0}; ///< of one attempt; 0: only the request's deadline
     std::string model; ///< engines only
     std::uint32_t maxTokens = 0; ///< engines only
 };
 
-/// Bounds on what one customer may have in the system, on each node. 0: none but the node's own.
+/// Limits of one customer on each node. 0: only the limits of the node apply.
 struct customer_limits
 {
-    std::uint32_t maxOpenRequests = 0; ///< running and waiting ones
+    std::uint32_t maxOpenRequests = 0; ///< running and queued requests
 };
 
-/// A pipeline template rendered with one customer's parameters. Immutable; a request keeps the
-/// plan that it began with.
+/// A pipeline template rendered with one customer's parameters. Immutable; a request keeps its plan
+/// to the end.
 struct pipeline_plan
 {
     pipeline_id id;
     customer_id customer;
     std::uint64_t configurationVersion = 0;
-    std::vector<stage_plan> stages; ///< in topological order; the last one gives the answer
-    milliseconds deadline{0}; ///< default and upper bound of a request's deadline
+    std::vector<stage_plan> stages; ///< in topological order; the last one answers
+    milliseconds deadline{0}; ///< default and maximum for requests
     orchidlead::priority priority = priority::Normal;
-    std::uint32_t weight = 1; ///< the customer's share of the capacity against other customers
-    customer_limits limits; ///< of the customer, over all its pipelines
+    std::uint32_t weight = 1; ///< relative share of the capacity
+    customer_limits limits; ///< over all pipelines of the customer
 
-    /// Tells whether every stage may be run again.
+    /// Returns whether every stage is repeatable.
     [[nodiscard]] bool repeatable() const
     {
         for (const auto &stage : stages) {
--- a/src/core/configuration/published_configuration.cpp
+++ b/src/core/configuration/published_configuration.cpp
@@ -44,8 +44,8 @@
     return found == m_templateIndex.end() ? nullptr : &templates[found->second];
 }
 
-// Customers are found by binary search: a hash table of 21,000 would add about a megabyte to each
-// node for less than a microsecond a request.
+// Customers are found by binary search. A hash table of 21,000 customers would cost each node about
+// 1 MB and save less than a microsecond per request.
 const customer *published_configuration::findCustomer(const customer_id &id) const
 {
     const auto found = std::lower_bound(
--- a/src/core/configuration/published_configuration.h
+++ b/src/core/configuration/published_configuration.h
@@ -19,14 +19,14 @@
 
 namespace orchidlead {
 
-/// One data centre that customers and backend servers may name.
+/// A data centre that customers and backend servers refer to.
 struct data_center
 {
     data_center_id id;
     region_id region;
 };
 
-/// One address at which a service runs.
+/// One address of a service.
 struct backend_server
 {
     backend_server_id id;
@@ -34,7 +34,7 @@
     data_center_id dataCenter;
 };
 
-/// A pool of backend servers that do the same work.
+/// A pool of interchangeable backend servers.
 struct service
 {
     service_id id;
@@ -44,14 +44,14 @@
     std::vector<backend_server> servers;
 };
 
-/// What a template parameter holds.
+/// Type of a template parameter.
 enum class parameter_type {
     Duration,
     Integer,
     String,
     Boolean,
     Priority,
-    Stages, ///< names of stages of the template, in the order in which they run
+    Stages, ///< names of stages, in execution order
 };
 
 template <>
@@ -68,25 +68,25 @@
 using parameter_value =
     std::variant<milliseconds, std::int64_t, std::string, bool, priority, std::vector<stage_id>>;
 
-/// What customers may set in a template.
+/// A parameter of a template that customers may set.
 struct template_parameter
 {
     std::string name;
     parameter_type type = parameter_type::String;
     bool required = false;
-    std::optional<parameter_value> defaultValue; ///< absent only where `required`
+    std::optional<parameter_value> defaultValue; ///< absent only if `required`
     std::optional<std::int64_t> minimum; ///< integers, and durations in milliseconds
     std::optional<std::int64_t> maximum; ///< as `minimum`
-    std::vector<parameter_value> allowed; ///< empty: any
+    std::vector<parameter_value> allowed; ///< empty: any value
 };
 
-/// Stands for the value of a parameter, by its place in the template's list.
+/// Reference to the value of a parameter.
 struct parameter_reference
 {
-    std::uint32_t index = 0;
+    std::uint32_t index = 0; ///< in `pipeline_template::parameters`
 };
 
-/// A value written in the template, or one that the customer's parameter gives.
+/// A literal value of the template, or a reference to a parameter of the customer.
 template <class T>
 using template_value = std::variant<T, parameter_reference>;
 
@@ -97,7 +97,7 @@
     std::uint32_t service = 0; ///< index in `published_configuration::services`
     std::string path;
     bool repeatable = true;
-    /// Indices of the stages that it takes as inputs; absent: the one that runs before it.
+    /// Indices of the stages whose outputs it takes; absent: the stage that runs before it.
     std::optional<std::vector<std::uint32_t>> after;
     template_value<bool> enabled = true;
     template_value<milliseconds> timeout = milliseconds{0};
@@ -105,49 +105,50 @@
     template_value<std::int64_t> maxTokens = std::int64_t{0};
 };
 
-/// A pipeline that customers fill in with their parameters.
+/// A pipeline definition that customers instantiate with their parameters.
 struct pipeline_template
 {
     template_id id;
     std::vector<template_parameter> parameters;
     template_value<milliseconds> deadline = milliseconds{0};
     template_value<orchidlead::priority> priority = priority::Normal;
-    /// Which stages run, in this order; absent: all, as listed.
+    /// Stages that run, in execution order; absent: all stages in the order of the template.
     std::optional<template_value<std::vector<stage_id>>> run;
     std::vector<template_stage> stages;
 };
 
-/// A customer's use of a template.
+/// A template with the parameter values of one customer.
 struct customer_pipeline
 {
     pipeline_id id;
     std::uint32_t templateIndex = 0; ///< in `published_configuration::templates`
-    std::vector<parameter_value> values; ///< one for each parameter, defaults filled in
+    std::vector<parameter_value> values; ///< one per parameter, including defaults
 };
 
-/// What one entry of `customers` says; shared by all customers that it names.
+/// Settings of one entry of `customers`; shared by all customers of the entry.
 struct customer_settings
 {
     data_center_id homeDataCenter;
-    std::uint32_t weight = 1; ///< share of the capacity against other customers
+    std::uint32_t weight = 1; ///< relative share of the capacity
     customer_limits limits;
     std::vector<customer_pipeline> pipelines;
 
-    /// Finds a pipeline, or returns null.
+    /// Returns null if there is no such pipeline.
     [[nodiscard]] const customer_pipeline *findPipeline(const pipeline_id &id) const;
 };
 
-/// One customer. Small, since there may be tens of thousands.
+/// One customer. Kept small, since a configuration may hold tens of thousands.
 struct customer
 {
     customer_id id;
     std::shared_ptr<const customer_settings> settings;
 };
 
-/// Everything that the platform publishes for the system, at one version. Immutable once parsed.
+/// One version of the configuration that the platform publishes. Immutable once parsed.
 ///
-/// Templates and customers' parameters are checked at parsing; plans are rendered on demand, since
-/// 21,000 customers times their pipelines would not fit a node's memory budget.
+/// Templates and the parameters of customers are validated at parsing. Plans are rendered on
+/// demand, since those of all pipelines of 21,000 customers would not fit the memory budget of a
+/// node.
 struct published_configuration
 {
     std::uint64_t version = 0;
@@ -156,20 +157,18 @@
     std::vector<pipeline_template> templates;
     std::vector<customer> customers; ///< sorted by id
 
-    /// Finds a data centre, or returns null. Linear: there are few.
+    // The functions below return null if there is no such entry.
+
+    /// Linear search: there are few data centres.
     [[nodiscard]] const data_center *findDataCenter(const data_center_id &id) const;
-    /// Finds a service, or returns null.
     [[nodiscard]] const service *findService(const service_id &id) const;
-    /// Finds a backend server of any service, or returns null.
     [[nodiscard]] const backend_server *findServer(const backend_server_id &id) const;
-    /// Finds the service that a backend server belongs to, or returns null.
+    /// Returns the service that the backend server belongs to.
     [[nodiscard]] const service *findServiceOf(const backend_server_id &id) const;
-    /// Finds a template, or returns null.
     [[nodiscard]] const pipeline_template *findTemplate(const template_id &id) const;
-    /// Finds a customer, or returns null.
     [[nodiscard]] const customer *findCustomer(const customer_id &id) const;
 
-    /// Sorts the customers and fills the indices; called once, after the lists are complete.
+    /// Sorts the customers and fills the indices; call once, when all lists are complete.
     void buildIndex();
 
 private:
@@ -186,15 +185,15 @@
 
 using configuration_ptr = std::shared_ptr<const published_configuration>;
 
-/// Reads and checks a published document.
+/// Parses and validates a published document.
 ///
-/// Deterministic: every node that runs the same program accepts or refuses a text alike, whatever
-/// its locale, time or memory. On failure gives every error found, up to a bound.
+/// Deterministic: every node that runs the same program accepts or rejects the same documents,
+/// which depends on neither locale, time nor memory. Returns all errors found, up to a limit.
 [[nodiscard]] result<configuration_ptr, std::vector<configuration_error>>
 parsePublishedConfiguration(std::string_view yaml, std::string_view fileName,
                             std::uint64_t version);
 
-/// Why there is no plan for a request.
+/// Reason why a pipeline cannot be rendered.
 enum class render_failure { UnknownCustomer, UnknownPipeline, InvalidParameters };
 
 template <>
@@ -204,22 +203,23 @@
     enum_name<render_failure>{render_failure::InvalidParameters, "invalid_parameters"},
 };
 
-/// Says why a pipeline couldn't be rendered. A parsed configuration never gives
-/// `InvalidParameters`, since parsing renders each entry once.
+/// Failure to render a pipeline. `InvalidParameters` does not occur with a parsed configuration,
+/// since parsing renders the pipelines of each entry once.
 struct render_error
 {
     render_failure failure = render_failure::UnknownCustomer;
-    std::optional<std::uint32_t> parameter; ///< index of the parameter that is at fault
-    std::string value; ///< offending text
+    std::optional<std::uint32_t> parameter; ///< index of the invalid parameter
+    std::string value; ///< invalid value
     std::string expected;
 };
 
-/// Renders one customer's pipeline.
+/// Renders a pipeline of a customer.
 [[nodiscard]] result<std::shared_ptr<const pipeline_plan>, render_error>
 renderPipeline(const published_configuration &configuration, const customer_id &customer,
                const pipeline_id &pipeline);
 
-/// Renders a template with one set of parameters; the part of `renderPipeline` that checks.
+/// Renders and validates a template with the parameter values of `pipeline`. The fields that depend
+/// on the customer are left at their defaults; `renderPipeline` sets them.
 [[nodiscard]] result<pipeline_plan, render_error>
 renderTemplate(const published_configuration &configuration, const customer_pipeline &pipeline);
 
--- a/src/core/configuration/render_pipeline.cpp
+++ b/src/core/configuration/render_pipeline.cpp
@@ -9,16 +9,16 @@
 
 constexpr std::uint32_t NotRunning = std::numeric_limits<std::uint32_t>::max();
 
-/// The customer's word for a template's value, and who is to blame where it doesn't fit.
+/// A template value for one customer, and the index of the parameter that it comes from, if any.
 template <class T>
-struct resolved
+struct resolved_value
 {
     T value;
     std::optional<std::uint32_t> parameter;
 };
 
 template <class T>
-resolved<T> resolve(const template_value<T> &value, const customer_pipeline &pipeline)
+resolved_value<T> resolve(const template_value<T> &value, const customer_pipeline &pipeline)
 {
     if (const auto *reference = std::get_if<parameter_reference>(&value))
         return {std::get<T>(pipeline.values[reference->index]), reference->index};
@@ -32,11 +32,12 @@
                         std::move(expected)};
 }
 
-/// Puts the chosen stages in order, joins them, and checks what comes out.
-class renderer
+/// Orders the selected stages, connects their inputs and validates the resulting graph.
+class pipeline_renderer
 {
 public:
-    renderer(const published_configuration &configuration, const customer_pipeline &pipeline)
+    pipeline_renderer(const published_configuration &configuration,
+                      const customer_pipeline &pipeline)
         : m_services(configuration.services)
         , m_template(configuration.templates[pipeline.templateIndex])
         , m_pipeline(pipeline)
@@ -44,7 +45,7 @@
 
     result<pipeline_plan, render_error> render()
     {
-        BOOST_OUTCOME_TRYV(chooseStages());
+        BOOST_OUTCOME_TRYV(selectStages());
         pipeline_plan plan;
         plan.id = m_pipeline.id;
         plan.priority = resolve(m_template.priority, m_pipeline).value;
@@ -56,41 +57,41 @@
             BOOST_OUTCOME_TRY(rendered, renderStage(stage));
             plan.stages.push_back(std::move(rendered));
         }
-        BOOST_OUTCOME_TRYV(checkGraph(plan));
+        BOOST_OUTCOME_TRYV(validateGraph(plan));
         return plan;
     }
 
 private:
-    result<void, render_error> chooseStages()
+    result<void, render_error> selectStages()
     {
         m_position.assign(m_template.stages.size(), NotRunning);
         if (m_template.run) {
-            BOOST_OUTCOME_TRYV(takeChosen());
+            BOOST_OUTCOME_TRYV(addSelectedStages());
         } else {
             for (std::uint32_t i = 0; i < m_template.stages.size(); ++i)
-                take(i);
+                addIfEnabled(i);
         }
         if (m_order.empty())
-            return invalid(m_chooser, "", "at least one stage that runs");
+            return invalid(m_runParameter, "", "at least one stage that runs");
         return success();
     }
 
-    result<void, render_error> takeChosen()
+    result<void, render_error> addSelectedStages()
     {
-        const auto chosen = resolve(*m_template.run, m_pipeline);
-        m_chooser = chosen.parameter;
-        for (const stage_id &id : chosen.value) {
+        const auto selected = resolve(*m_template.run, m_pipeline);
+        m_runParameter = selected.parameter;
+        for (const stage_id &id : selected.value) {
             const auto found =
                 std::find_if(m_template.stages.begin(), m_template.stages.end(),
                              [&](const template_stage &stage) { return stage.id == id; });
             if (found == m_template.stages.end())
-                return invalid(m_chooser, id.value, "the name of a stage of the template");
-            take(static_cast<std::uint32_t>(found - m_template.stages.begin()));
+                return invalid(m_runParameter, id.value, "the name of a stage of the template");
+            addIfEnabled(static_cast<std::uint32_t>(found - m_template.stages.begin()));
         }
         return success();
     }
 
-    void take(std::uint32_t stage)
+    void addIfEnabled(std::uint32_t stage)
     {
         const auto enabled = resolve(m_template.stages[stage].enabled, m_pipeline);
         if (!enabled.value)
@@ -135,7 +136,7 @@
         return success();
     }
 
-    /// Gives the positions of the running stages whose outputs a running stage takes.
+    /// Returns the positions of the running stages whose outputs the stage takes.
     [[nodiscard]] result<std::vector<std::uint32_t>, render_error>
     inputsOf(std::uint32_t index) const
     {
@@ -149,21 +150,21 @@
         }
         std::vector<bool> seen(m_template.stages.size(), false);
         for (const std::uint32_t input : *after)
-            collect(input, inputs, seen);
+            collectInputs(input, inputs, seen);
         std::sort(inputs.begin(), inputs.end());
         for (const std::uint32_t input : inputs) {
             if (input >= position)
-                return invalid(m_chooser, m_template.stages[index].id.value,
+                return invalid(m_runParameter, m_template.stages[index].id.value,
                                "this stage after its input "
                                    + m_template.stages[m_order[input]].id.value);
         }
         return inputs;
     }
 
-    // A stage that doesn't run hands on its own inputs; one without `after` those of the stage
-    // listed before it. `seen` keeps the walk finite and each input single.
-    void collect(std::uint32_t index, std::vector<std::uint32_t> &inputs,
-                 std::vector<bool> &seen) const
+    // A stage that does not run is replaced by its inputs; one without `after` is replaced by the
+    // stage listed before it. `seen` terminates the recursion and prevents duplicate inputs.
+    void collectInputs(std::uint32_t index, std::vector<std::uint32_t> &inputs,
+                       std::vector<bool> &seen) const
     {
         if (seen[index])
             return;
@@ -175,13 +176,13 @@
         const auto &after = m_template.stages[index].after;
         if (after) {
             for (const std::uint32_t input : *after)
-                collect(input, inputs, seen);
+                collectInputs(input, inputs, seen);
         } else if (index > 0) {
-            collect(index - 1, inputs, seen);
+            collectInputs(index - 1, inputs, seen);
         }
     }
 
-    [[nodiscard]] result<void, render_error> checkGraph(const pipeline_plan &plan) const
+    [[nodiscard]] result<void, render_error> validateGraph(const pipeline_plan &plan) const
     {
         std::vector<bool> used(plan.stages.size(), false);
         used.back() = true;
@@ -192,11 +193,11 @@
         for (std::size_t i = 0; i < plan.stages.size(); ++i) {
             const stage_plan &stage = plan.stages[i];
             if (!used[i])
-                return invalid(m_chooser, stage.id.value,
+                return invalid(m_runParameter, stage.id.value,
                                "a stage whose output another one takes, or the last one");
-            // A failure after a call that may not be repeated would call for running it again.
+            // If a later stage failed, the request could only be retried by repeating this call.
             if (!stage.repeatable && i + 1 != plan.stages.size())
-                return invalid(m_chooser, stage.id.value,
+                return invalid(m_runParameter, stage.id.value,
                                "a repeatable stage; only the last may be not repeatable");
         }
         return success();
@@ -205,9 +206,9 @@
     const std::vector<service> &m_services;
     const pipeline_template &m_template;
     const customer_pipeline &m_pipeline;
-    std::optional<std::uint32_t> m_chooser; ///< parameter that says which stages run
+    std::optional<std::uint32_t> m_runParameter; ///< parameter that selects the stages
     std::vector<std::uint32_t> m_order; ///< template indices of running stages
-    std::vector<std::uint32_t> m_position; ///< by template index, or `NotRunning`
+    std::vector<std::uint32_t> m_position; ///< by template index; or `NotRunning`
 };
 
 } // namespace
@@ -215,7 +216,7 @@
 result<pipeline_plan, render_error> renderTemplate(const published_configuration &configuration,
                                                    const customer_pipeline &pipeline)
 {
-    return renderer(configuration, pipeline).render();
+    return pipeline_renderer(configuration, pipeline).render();
 }
 
 result<std::shared_ptr<const pipeline_plan>, render_error>
@@ -226,11 +227,11 @@
     if (found == nullptr)
         return render_error{render_failure::UnknownCustomer, std::nullopt, customer.value,
                             "a customer of the configuration"};
-    const customer_pipeline *const used = found->settings->findPipeline(pipeline);
-    if (used == nullptr)
+    const customer_pipeline *const instance = found->settings->findPipeline(pipeline);
+    if (instance == nullptr)
         return render_error{render_failure::UnknownPipeline, std::nullopt, pipeline.value,
                             "a pipeline of the customer"};
-    BOOST_OUTCOME_TRY(plan, renderTemplate(configuration, *used));
+    BOOST_OUTCOME_TRY(plan, renderTemplate(configuration, *instance));
     plan.customer = customer;
     plan.configurationVersion = configuration.version;
     plan.weight = found->settings->weight;
--- a/tests/core/configuration_keeper_test.cpp
+++ b/tests/core/configuration_keeper_test.cpp
@@ -34,7 +34,7 @@
     return {version, configurationHash(content)};
 }
 
-/// Runs one keeper and holds what it asked for.
+/// Runs one keeper and collects its actions.
 template <class Keeper = text_keeper>
 struct keeper_fixture
 {
@@ -48,7 +48,7 @@
     }
 
     template <class Action>
-    std::vector<Action> take()
+    std::vector<Action> actionsOf()
     {
         std::vector<Action> found;
         for (const auto &action : out) {
@@ -60,32 +60,32 @@
 
     bool reported(keeper_event event)
     {
-        for (const auto &report : take<keeper_report>()) {
+        for (const auto &report : actionsOf<keeper_report>()) {
             if (report.event == event)
                 return true;
         }
         return false;
     }
 
-    /// Answers the newest call to the service.
-    void serviceAnswers(std::uint64_t version, const std::string &content)
+    /// Answers the latest call to the service.
+    void answerServiceCall(std::uint64_t version, const std::string &content)
     {
         const auto call = keeper->serviceCalls();
         out.clear();
         keeper->onServiceRead(call, version, content, out);
     }
 
-    void wait(milliseconds time)
+    void advanceTime(milliseconds time)
     {
         clock.advance(time);
         keeper->tick(out);
     }
 
-    /// Puts a version in force that the peers confirm.
-    void serve(std::uint64_t version, const std::string &content)
+    /// Puts a version in force and waits until it is confirmed or the confirmation times out.
+    void adoptAndConfirm(std::uint64_t version, const std::string &content)
     {
-        serviceAnswers(version, content);
-        wait(2s);
+        answerServiceCall(version, content);
+        advanceTime(2s);
         REQUIRE(keeper->readyToServe());
         out.clear();
     }
@@ -97,87 +97,89 @@
 
 } // namespace
 
-TEST_CASE("a single node serves by what the service gave")
+TEST_CASE("a single node serves the configuration that the service returns")
 {
     keeper_fixture<> node;
-    const auto calls = node.take<fetch_from_service>();
+    const auto calls = node.actionsOf<fetch_from_service>();
     REQUIRE(calls.size() == 1);
     CHECK(calls[0].wait == 0ms);
     CHECK_FALSE(node.keeper->readyToServe());
-    node.serviceAnswers(3, "three");
+    node.answerServiceCall(3, "three");
     REQUIRE(node.keeper->readyToServe());
     CHECK(node.keeper->current()->text == "three");
     node.out.clear();
-    node.wait(500ms);
-    REQUIRE(node.take<fetch_from_service>().size() == 1);
-    CHECK(node.take<fetch_from_service>()[0].after == 3);
-    CHECK(node.take<fetch_from_service>()[0].wait == 30s);
+    node.advanceTime(500ms);
+    REQUIRE(node.actionsOf<fetch_from_service>().size() == 1);
+    CHECK(node.actionsOf<fetch_from_service>()[0].after == 3);
+    CHECK(node.actionsOf<fetch_from_service>()[0].wait == 30s);
 }
 
-TEST_CASE("a stale service is ignored and reported")
+TEST_CASE("a lower version from a stale service is ignored and reported")
 {
     keeper_fixture<> node;
-    node.serve(12, "twelve");
-    node.serviceAnswers(9, "nine");
+    node.adoptAndConfirm(12, "twelve");
+    node.answerServiceCall(9, "nine");
     CHECK(node.keeper->stamp().version == 12);
     CHECK(node.reported(keeper_event::StaleService));
 }
 
-TEST_CASE("an invalid version is refused once and the one before stays until a valid one comes")
+TEST_CASE(
+    "an invalid version is rejected once and the previous one stays until a valid one arrives")
 {
     keeper_fixture<> node;
-    node.serve(12, "twelve");
-    node.serviceAnswers(13, "invalid thirteen");
-    REQUIRE(node.take<reject_configuration>().size() == 1);
+    node.adoptAndConfirm(12, "twelve");
+    node.answerServiceCall(13, "invalid thirteen");
+    REQUIRE(node.actionsOf<reject_configuration>().size() == 1);
     CHECK(node.keeper->current()->text == "twelve");
-    node.wait(1s);
-    INFO("the watch must not come back with the refused version at once");
-    REQUIRE_FALSE(node.take<fetch_from_service>().empty());
-    CHECK(node.take<fetch_from_service>().back().after == 13);
-    node.serviceAnswers(13, "invalid thirteen");
-    CHECK(node.take<reject_configuration>().empty());
-    node.serviceAnswers(14, "fourteen");
+    node.advanceTime(1s);
+    INFO("the watch must not return the rejected version at once");
+    REQUIRE_FALSE(node.actionsOf<fetch_from_service>().empty());
+    CHECK(node.actionsOf<fetch_from_service>().back().after == 13);
+    node.answerServiceCall(13, "invalid thirteen");
+    CHECK(node.actionsOf<reject_configuration>().empty());
+    node.answerServiceCall(14, "fourteen");
     CHECK(node.keeper->current()->text == "fourteen");
 }
 
-TEST_CASE("of two contents under one version all nodes take the one with the greater hash")
+TEST_CASE(
+    "of two configurations with the same version all nodes adopt the one with the greater hash")
 {
     keeper_fixture<> one;
     keeper_fixture<> other;
-    one.serve(5, "left");
-    one.serviceAnswers(5, "right");
+    one.adoptAndConfirm(5, "left");
+    one.answerServiceCall(5, "right");
     CHECK(one.reported(keeper_event::VersionConflict));
-    other.serve(5, "right");
-    other.serviceAnswers(5, "left");
+    other.adoptAndConfirm(5, "right");
+    other.answerServiceCall(5, "left");
     CHECK(other.reported(keeper_event::VersionConflict));
     CHECK(one.keeper->stamp() == other.keeper->stamp());
 }
 
-TEST_CASE("a new node takes a peer's version before a stale service's and doesn't serve earlier")
+TEST_CASE("a new node with a stale service serves only after adopting the version of a peer")
 {
     keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
-    REQUIRE_FALSE(node.take<ask_peers>().empty());
-    node.serviceAnswers(9, "nine");
+    REQUIRE_FALSE(node.actionsOf<ask_peers>().empty());
+    node.answerServiceCall(9, "nine");
     CHECK_FALSE(node.keeper->readyToServe());
     node.out.clear();
     node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(12, "twelve"), node.clock.now(), node.out);
     CHECK_FALSE(node.keeper->readyToServe());
-    REQUIRE(node.take<fetch_from_peer>().size() == 1);
-    node.wait(900ms);
+    REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
+    node.advanceTime(900ms);
     node.keeper->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
     CHECK(node.keeper->readyToServe());
     CHECK(node.keeper->stamp().version == 12);
 }
 
-TEST_CASE("a new node that has no VM list yet isn't content with a stale service's answer")
+TEST_CASE("a new node without a VM list is not confirmed by the answer of a stale service")
 {
     member self = makeMember("vm-1");
     self.listed = false;
     keeper_fixture<> node({self});
-    node.serviceAnswers(9, "nine");
+    node.answerServiceCall(9, "nine");
     CHECK_FALSE(node.keeper->readyToServe());
     node.keeper->setMembers({makeMember("vm-1"), makeMember("vm-2")});
-    node.wait(50ms);
+    node.advanceTime(50ms);
     CHECK_FALSE(node.keeper->readyToServe());
     node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(12, "twelve"), node.clock.now(), node.out);
     CHECK_FALSE(node.keeper->readyToServe());
@@ -186,31 +188,31 @@
     CHECK(node.keeper->stamp().version == 12);
 }
 
-TEST_CASE("without the guard a new node serves what a stale service gives")
+TEST_CASE("without the guard a new node serves the version of a stale service")
 {
     keeper_fixture<configuration_keeper<text_configuration, trusting_policy>> node(
         {makeMember("vm-1"), makeMember("vm-2")});
-    node.serviceAnswers(12, "twelve");
-    node.serviceAnswers(9, "nine");
+    node.answerServiceCall(12, "twelve");
+    node.answerServiceCall(9, "nine");
     CHECK(node.keeper->readyToServe());
-    INFO("the version went back");
+    INFO("the version decreased");
     CHECK(node.keeper->stamp().version == 9);
 }
 
-TEST_CASE("after a pause the node asks again, and an answer to an older question doesn't count")
+TEST_CASE("after a pause the node probes its peers again and ignores answers to earlier probes")
 {
     keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
-    const auto asked = node.clock.now();
-    node.serviceAnswers(12, "twelve");
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), asked, node.out);
+    const auto firstProbeSentAt = node.clock.now();
+    node.answerServiceCall(12, "twelve");
+    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), firstProbeSentAt, node.out);
     REQUIRE(node.keeper->readyToServe());
 
     node.clock.advance(10s);
     node.out.clear();
     node.keeper->onPaused(node.out);
     CHECK(node.keeper->mustReconfirm());
-    CHECK_FALSE(node.take<ask_peers>().empty());
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), asked, node.out);
+    CHECK_FALSE(node.actionsOf<ask_peers>().empty());
+    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), firstProbeSentAt, node.out);
     node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), std::nullopt, node.out);
     CHECK(node.keeper->mustReconfirm());
     node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(13, "thirteen"), node.clock.now(),
@@ -220,68 +222,69 @@
     CHECK(node.keeper->readyToServe());
 }
 
-TEST_CASE("a node that nobody answers goes on with what it has")
+TEST_CASE("a node without any answer serves the configuration in force after the timeout")
 {
     keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
-    node.serve(12, "twelve");
+    node.adoptAndConfirm(12, "twelve");
     node.keeper->onPaused(node.out);
-    node.wait(1900ms);
+    node.advanceTime(1900ms);
     CHECK_FALSE(node.keeper->readyToServe());
-    node.wait(200ms);
+    node.advanceTime(200ms);
     CHECK(node.keeper->readyToServe());
-    CHECK(node.reported(keeper_event::ConfirmedAlone));
+    CHECK(node.reported(keeper_event::ConfirmTimedOut));
 }
 
-TEST_CASE("a peer whose content isn't what it announced is dropped for another holder")
+TEST_CASE("a peer that sends a lower version than announced is replaced by another holder")
 {
     keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2"), makeMember("vm-3")});
     const auto stamp = makeStamp(12, "twelve");
     node.keeper->onPeerVersion(vm_id{"vm-2"}, stamp, std::nullopt, node.out);
     node.keeper->onPeerVersion(vm_id{"vm-3"}, stamp, std::nullopt, node.out);
-    REQUIRE(node.take<fetch_from_peer>().size() == 1);
+    REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     node.out.clear();
     node.keeper->onPeerContent(vm_id{"vm-2"}, 11, "eleven", node.out);
     CHECK(node.reported(keeper_event::ContentMismatch));
-    REQUIRE(node.take<fetch_from_peer>().size() == 1);
-    CHECK(node.take<fetch_from_peer>()[0].vm == vm_id{"vm-3"});
+    REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
+    CHECK(node.actionsOf<fetch_from_peer>()[0].vm == vm_id{"vm-3"});
     node.out.clear();
-    INFO("a peer that doesn't answer is given up");
-    node.wait(1100ms);
+    INFO("a fetch from a peer that does not answer times out");
+    node.advanceTime(1100ms);
     node.keeper->onPeerVersion(vm_id{"vm-2"}, stamp, std::nullopt, node.out);
-    REQUIRE(node.take<fetch_from_peer>().size() == 1);
+    REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     node.keeper->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
     CHECK(node.keeper->stamp() == stamp);
 }
 
-TEST_CASE("while the service is down calls stay within a rate, and its return is read at once")
+TEST_CASE(
+    "while the service is down the call rate is bounded and a recovered service is read again")
 {
     keeper_fixture<> node;
-    node.serve(12, "twelve");
+    node.adoptAndConfirm(12, "twelve");
     const auto before = node.keeper->serviceCalls();
     for (int i = 0; i < 36000; ++i) {
-        node.wait(100ms);
-        for (const auto &call : node.take<fetch_from_service>()) {
+        node.advanceTime(100ms);
+        for (const auto &call : node.actionsOf<fetch_from_service>()) {
             node.out.clear();
             node.keeper->onServiceFailed(call.call, node.out);
         }
         node.out.clear();
     }
     const auto calls = node.keeper->serviceCalls() - before;
-    INFO("calls in an hour: " << calls);
+    INFO("calls in one hour: " << calls);
     CHECK(calls >= 1800);
     CHECK(calls <= 7200);
     CHECK(node.keeper->current()->text == "twelve");
-    node.wait(2s);
-    node.serviceAnswers(13, "thirteen");
+    node.advanceTime(2s);
+    node.answerServiceCall(13, "thirteen");
     CHECK(node.keeper->stamp().version == 13);
 }
 
-TEST_CASE("the death of a reader makes another one of the data centre a reader")
+TEST_CASE("a suspected reader is replaced by another node of the data centre")
 {
     std::vector<member> members;
     for (int i = 0; i < 50; ++i)
         members.push_back(makeMember("vm-" + std::to_string(i)));
-    const auto countReaders = [&members] {
+    const auto findReaders = [&members] {
         std::vector<std::size_t> readers;
         for (std::size_t i = 0; i < members.size(); ++i) {
             const bool alive = members[i].state == member_state::Alive;
@@ -290,16 +293,16 @@
         }
         return readers;
     };
-    const auto before = countReaders();
+    const auto before = findReaders();
     REQUIRE(before.size() == 3);
     members[before[0]].state = member_state::Suspect;
-    const auto after = countReaders();
+    const auto after = findReaders();
     REQUIRE(after.size() == 3);
     CHECK(std::find(after.begin(), after.end(), before[1]) != after.end());
     CHECK(std::find(after.begin(), after.end(), before[2]) != after.end());
 }
 
-TEST_CASE("a content spreads by a tree: no node is the parent of more than the fanout")
+TEST_CASE("in the distribution tree no node has more children than the fanout")
 {
     std::vector<member> members;
     for (int i = 0; i < 50; ++i)
@@ -322,7 +325,8 @@
     CHECK(deepest == 3);
 }
 
-TEST_CASE("a node whose parent doesn't have the content yet takes it from one that announced it")
+TEST_CASE(
+    "a node whose parent does not have the content yet fetches it from a peer that announced it")
 {
     std::vector<member> members;
     for (int i = 0; i < 5; ++i)
