--- a/src/core/settings/configuration_error.h
+++ b/src/core/settings/configuration_error.h
@@ -4,15 +4,15 @@
 
 namespace orchidlead {
 
-/// Says what is wrong with a YAML document and where.
+/// An error in a YAML document and its position.
 struct configuration_error
 {
     std::string file;
-    int line = 0; ///< from 1; 0 where there is none
+    int line = 0; ///< from 1; 0: unknown
     int column = 0; ///< from 1
     std::string key; ///< path to the value, such as `services[2].servers[0].address`
-    std::string value; ///< the offending text, shortened
-    std::string expected; ///< what would have been accepted
+    std::string value; ///< the invalid value, truncated
+    std::string expected; ///< description of valid values
 
     /// One line: `file:line:column: key: "value": expected …`.
     [[nodiscard]] std::string message() const;
--- a/src/core/settings/settings.cpp
+++ b/src/core/settings/settings.cpp
@@ -18,26 +18,26 @@
 constexpr std::int64_t KiB = 1024;
 constexpr std::int64_t MiB = 1024 * KiB;
 constexpr std::int64_t GiB = 1024 * MiB;
-constexpr duration_range PollRange{milliseconds{100}, minutes{5}};
+constexpr duration_range LongPollRange{milliseconds{100}, minutes{5}};
 constexpr duration_range IntervalRange{milliseconds{10}, minutes{1}};
 constexpr duration_range BackoffRange{milliseconds{100}, minutes{5}};
 constexpr duration_range ConnectionRange{milliseconds{100}, hours{1}};
 constexpr duration_range MarginRange{milliseconds{0}, seconds{10}};
-constexpr duration_range StopRange{milliseconds{0}, hours{1}};
+constexpr duration_range ShutdownRange{milliseconds{0}, hours{1}};
 constexpr integer_range BodyRange{KiB, GiB};
 constexpr integer_range HeaderRange{KiB, MiB};
 constexpr integer_range ConnectionCountRange{1, 1'000'000};
 constexpr integer_range RequestCountRange{1, 1'000'000};
 constexpr integer_range TraceCountRange{0, 100'000};
-constexpr integer_range AttemptRange{1, 16};
-constexpr integer_range ReaderRange{1, 16};
-constexpr integer_range QueueRange{1, 1'000'000};
+constexpr integer_range AttemptCountRange{1, 16};
+constexpr integer_range ReaderCountRange{1, 16};
+constexpr integer_range LogQueueRange{1, 1'000'000};
 
-/// Calls `parse` with the mapping under `key`, where there is one.
+/// Calls `parse` with the mapping under `key`, if present.
 template <class Parse>
-void readSection(mapping_reader &mapping, std::string_view key, presence wanted, Parse parse)
+void readSection(mapping_reader &mapping, std::string_view key, presence requirement, Parse parse)
 {
-    const auto found = mapping.find(key, wanted);
+    const auto found = mapping.find(key, requirement);
     if (!found)
         return;
     mapping_reader section(*found);
@@ -76,10 +76,10 @@
     section.read("configuration_service", presence::Required, platform.configurationService,
                  &value_reader::address);
     section.read("vm_list", presence::Required, platform.vmList, &value_reader::address);
-    section.readDuration("read_wait", platform.readWait, PollRange);
+    section.readDuration("read_wait", platform.readWait, LongPollRange);
     section.readDuration("min_read_interval", platform.minReadInterval, IntervalRange);
     section.readDuration("max_backoff", platform.maxBackoff, BackoffRange);
-    section.readInteger("readers_per_data_center", platform.readersPerDataCenter, ReaderRange);
+    section.readInteger("readers_per_data_center", platform.readersPerDataCenter, ReaderCountRange);
     requireOrder(section.reader(), "min_read_interval", platform.minReadInterval, "max_backoff",
                  platform.maxBackoff);
 }
@@ -97,7 +97,8 @@
     section.readInteger("max_open_requests", limits.maxOpenRequests, RequestCountRange);
     section.readInteger("max_queued_per_service", limits.maxQueuedPerService, RequestCountRange);
     section.readInteger("recent_requests", limits.recentRequests, TraceCountRange);
-    // A body that never fits would be refused as overload, as if coming back could help.
+    // A body that can never fit would be rejected as overload, which suggests that a retry could
+    // succeed.
     if (limits.maxBodyBytes > limits.maxInputBytes) {
         section.reader().errors().add(
             section.reader().value(), section.reader().path() + ".max_input_bytes",
@@ -108,7 +109,7 @@
 
 void parseRouting(mapping_reader &section, stage_settings &routing)
 {
-    section.readInteger("max_attempts_per_stage", routing.maxAttemptsPerStage, AttemptRange);
+    section.readInteger("max_attempts_per_stage", routing.maxAttemptsPerStage, AttemptCountRange);
     section.readDuration("hop_margin", routing.hopMargin, MarginRange);
     section.readDuration("remote_latency", routing.remoteLatency, MarginRange);
     section.readDuration("connect_timeout", routing.connectTimeout, IntervalRange);
@@ -130,8 +131,8 @@
 
 void parseStop(mapping_reader &section, stop_settings &stop)
 {
-    section.readDuration("notice", stop.notice, StopRange);
-    section.readDuration("drain", stop.drain, StopRange);
+    section.readDuration("notice", stop.notice, ShutdownRange);
+    section.readDuration("drain", stop.drain, ShutdownRange);
 }
 
 void parseLog(mapping_reader &section, log_settings &log)
@@ -139,7 +140,7 @@
     section.read("format", presence::Optional, log.format, &value_reader::enumerator<log_format>);
     section.read("level", presence::Optional, log.level, &value_reader::enumerator<log_level>);
     section.read("file", presence::Optional, log.file, &value_reader::text);
-    section.readInteger("queue", log.queue, QueueRange);
+    section.readInteger("queue", log.queue, LogQueueRange);
 }
 
 process_settings parseRoot(const value_reader &root)
@@ -149,8 +150,8 @@
     mapping.read("vm", presence::Required, settings.vm, &value_reader::name);
     mapping.read("data_center", presence::Required, settings.dataCenter, &value_reader::name);
     mapping.read("region", presence::Required, settings.region, &value_reader::name);
-    const auto section = [&](std::string_view key, presence wanted, auto &target, auto parse) {
-        readSection(mapping, key, wanted, [&](mapping_reader &each) { parse(each, target); });
+    const auto section = [&](std::string_view key, presence requirement, auto &target, auto parse) {
+        readSection(mapping, key, requirement, [&](mapping_reader &each) { parse(each, target); });
     };
     section("listen", presence::Required, settings.listen, parseListen);
     section("tls", presence::Optional, settings.tls, parseTls);
--- a/src/core/settings/settings.h
+++ b/src/core/settings/settings.h
@@ -21,17 +21,17 @@
 {
     socket_address caller;
     socket_address operators; ///< key `operator`
-    socket_address peer; ///< UDP and TCP; as the VM list gives it
+    socket_address peer; ///< UDP and TCP; as in the VM list
 };
 
-/// Certificate of the caller address; both paths are empty where TLS is off.
+/// Certificate of the caller address; both paths are empty if TLS is disabled.
 struct tls_settings
 {
     std::string certificateFile; ///< PEM
     std::string keyFile; ///< PEM
 };
 
-/// Where the platform publishes, and how often it may be asked.
+/// Services of the platform, and limits on the rate of calls to them.
 struct platform_settings
 {
     socket_address configurationService;
@@ -42,46 +42,48 @@
     std::uint32_t readersPerDataCenter = 3;
 };
 
-/// Bounds on what arrives.
+/// Limits on incoming data and on the state kept for it.
 struct limit_settings
 {
     std::size_t maxBodyBytes = 16U << 20U; ///< of one request
     std::size_t maxHeaderBytes = 16U << 10U;
     std::size_t maxConnections = 4096;
-    milliseconds requestTimeout{15'000}; ///< until a request must be here whole
-    milliseconds idleTimeout{60'000}; ///< of kept connections
-    std::size_t maxInputBytes = 64U << 20U; ///< inputs and stages' outputs of open requests
-    std::size_t maxAnswerBytes = 16U << 20U; ///< of one backend server's answer
-    std::size_t maxStreamBytes = 256U << 10U; ///< that wait for one slow reader of a stream
+    milliseconds requestTimeout{15'000}; ///< for receiving a whole request
+    milliseconds idleTimeout{60'000}; ///< of keep-alive connections
+    std::size_t maxInputBytes = 64U << 20U; ///< inputs and stage outputs of open requests
+    std::size_t maxAnswerBytes = 16U << 20U; ///< of one answer of a backend server
+    std::size_t maxStreamBytes = 256U << 10U; ///< buffered for one slow stream reader
     std::uint32_t maxOpenRequests = 20'000;
     std::uint32_t maxQueuedPerService = 2'000;
-    std::uint32_t recentRequests = 1'000; ///< traces that are kept
+    std::uint32_t recentRequests = 1'000; ///< requests whose traces are kept
 };
 
-/// How requests are taken through their stages.
+/// Execution of the stages of requests.
 struct stage_settings
 {
     std::uint32_t maxAttemptsPerStage = 4;
-    milliseconds hopMargin{10}; ///< kept back at each send for the way back
-    milliseconds remoteLatency{2}; ///< counted against servers in other data centres
+    milliseconds hopMargin{10}; ///< reserved per hop for the answer's return
+    milliseconds remoteLatency{2}; ///< round trip to other data centres
     milliseconds connectTimeout{500};
 };
 
-/// How peers watch each other.
+/// Failure detection between peers.
 struct membership_settings
 {
-    milliseconds probeInterval{1'000}; ///< of VMs in the own data centre
-    milliseconds remoteProbeInterval{2'000}; ///< of VMs elsewhere
+    milliseconds probeInterval{1'000}; ///< for VMs in the same data centre
+    milliseconds remoteProbeInterval{2'000}; ///< for VMs in other data centres
     milliseconds probeTimeout{300};
-    milliseconds suspicionMin{3'000}; ///< from suspect to dead, with others confirming
-    milliseconds suspicionMax{6'000}; ///< and alone
+    milliseconds suspicionMin{3'000}; ///< from suspect to dead if other VMs confirm
+    milliseconds suspicionMax{6'000}; ///< from suspect to dead without confirmation
 };
 
-/// The planned stop.
+/// Graceful shutdown.
 struct stop_settings
 {
-    milliseconds notice{5'000}; ///< not ready, but still serving, so that the balancer notices
-    milliseconds drain{30'000}; ///< longest wait for what is in flight
+    /// Time during which the node reports not ready but still serves, so that the load balancer
+    /// removes it.
+    milliseconds notice{5'000};
+    milliseconds drain{30'000}; ///< maximum wait for requests in flight
 };
 
 enum class log_format { Json, KeyValue };
@@ -107,10 +109,10 @@
     log_format format = log_format::KeyValue;
     log_level level = log_level::Info;
     std::string file; ///< empty: standard output
-    std::uint32_t queue = 10'000; ///< lines that wait to be written; beyond, they are dropped
+    std::uint32_t queue = 10'000; ///< buffered lines; further ones are dropped
 };
 
-/// Everything that one process reads from its own file at start.
+/// Settings of a process, read from its settings file at startup.
 struct process_settings
 {
     vm_id vm;
@@ -126,7 +128,7 @@
     log_settings log;
 };
 
-/// Reads and checks a settings file; gives every error found, up to a bound.
+/// Parses and validates a settings file; returns all errors found, up to a limit.
 [[nodiscard]] result<process_settings, std::vector<configuration_error>>
 parseSettings(std::string_view yaml, std::string_view fileName);
 
--- a/src/core/settings/socket_address_text.cpp
+++ b/src/core/settings/socket_address_text.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::size_t MaxIpBytes = 45;
+constexpr std::size_t MaxIpLength = 45;
 
-bool isIpNumber(const std::string &ip, int family)
+bool isIpAddress(const std::string &ip, int family)
 {
     std::array<unsigned char, sizeof(in6_addr)> parsed{};
-    return ip.size() <= MaxIpBytes && inet_pton(family, ip.c_str(), parsed.data()) == 1;
+    return ip.size() <= MaxIpLength && inet_pton(family, ip.c_str(), parsed.data()) == 1;
 }
 
 std::optional<std::uint16_t> parsePort(std::string_view text)
@@ -41,9 +41,9 @@
     if (bracketed)
         host = host.substr(1, host.size() - 2);
     const std::string ip{host};
-    // A zero byte inside would end the text early for the C library.
+    // `inet_pton` would treat a zero byte as the end of the text and ignore the rest.
     const bool hasZeroByte = host.find('\0') != std::string_view::npos;
-    if (!port || hasZeroByte || !isIpNumber(ip, bracketed ? AF_INET6 : AF_INET))
+    if (!port || hasZeroByte || !isIpAddress(ip, bracketed ? AF_INET6 : AF_INET))
         return std::nullopt;
     return socket_address{ip, *port};
 }
--- a/src/core/settings/socket_address_text.h
+++ b/src/core/settings/socket_address_text.h
@@ -8,10 +8,10 @@
 
 namespace orchidlead {
 
-/// Reads `a.b.c.d:port` or `[ipv6]:port`. Names and port 0 aren't accepted.
+/// Parses `a.b.c.d:port` or `[ipv6]:port`. Host names and port 0 are not accepted.
 [[nodiscard]] std::optional<socket_address> parseSocketAddress(std::string_view text);
 
-/// Writes the form that `parseSocketAddress` reads.
+/// Formats an address in the form that `parseSocketAddress` parses.
 [[nodiscard]] std::string toText(const socket_address &address);
 
 } // namespace orchidlead
--- a/src/core/settings/utf8.h
+++ b/src/core/settings/utf8.h
@@ -5,11 +5,11 @@
 
 namespace orchidlead {
 
-/// Gives the length of the well-formed UTF-8 sequence at the start of `text`, which isn't empty;
-/// 0: there is none.
+/// Returns the length of the well-formed UTF-8 sequence at the start of `text`, or 0 if there is
+/// none. `text` must not be empty.
 [[nodiscard]] std::size_t utf8Length(std::string_view text);
 
-/// Tells whether all of `text` is well-formed UTF-8.
+/// Returns whether all of `text` is well-formed UTF-8.
 [[nodiscard]] bool isUtf8(std::string_view text);
 
 } // namespace orchidlead
--- a/src/core/settings/yaml_document.cpp
+++ b/src/core/settings/yaml_document.cpp
@@ -15,19 +15,19 @@
 namespace {
 
 constexpr std::string_view EndMarker = "...";
-constexpr std::string_view WhiteSpace = " \t\r\n";
+constexpr std::string_view Whitespace = " \t\r\n";
 constexpr int FirstLine = 1;
 
-/// Ends the parse of a document that breaks a bound; yaml-cpp lets it through to `parseYaml`.
-struct parse_stopped
+/// Exception that aborts parsing of a rejected document; yaml-cpp does not catch it.
+struct document_rejected
 {
     configuration_error error;
 };
 
-/// Builds the tree out of yaml-cpp's events.
+/// Builds the tree from the events of yaml-cpp.
 ///
-/// Events are used, and not `YAML::Load`, because the bounds then hold while the text is being
-/// read, and because a node of ours is several times smaller than a `YAML::Node`.
+/// Events are used instead of `YAML::Load` because they allow limits to be enforced during parsing,
+/// and because a `yaml_value` is several times smaller than a `YAML::Node`.
 class tree_builder final : public YAML::EventHandler
 {
 public:
@@ -40,28 +40,28 @@
 
     void OnNull(const YAML::Mark &mark, YAML::anchor_t anchor) override
     {
-        refuseAnchor(mark, anchor);
-        // yaml-cpp gives the place of whatever follows; the key is what people look for.
-        YAML::Mark place = mark;
-        if (const yaml_value *key = openKey()) {
-            place.line = key->line - 1;
-            place.column = key->column - 1;
+        rejectAnchor(mark, anchor);
+        // yaml-cpp reports the position of the next token; errors should refer to the key instead.
+        YAML::Mark position = mark;
+        if (const yaml_value *key = pendingKey()) {
+            position.line = key->line - 1;
+            position.column = key->column - 1;
         }
-        add(place, yaml_kind::Null);
+        add(position, yaml_kind::Null);
     }
 
     void OnAlias(const YAML::Mark &mark, YAML::anchor_t /*anchor*/) override
     {
-        stop(mark, "no alias (`*name`): the value itself");
+        reject(mark, "no alias (`*name`): the value itself");
     }
 
     void OnScalar(const YAML::Mark &mark, const std::string &tag, YAML::anchor_t anchor,
                   const std::string &value) override
     {
-        refuseAnchor(mark, anchor);
-        refuseTag(mark, tag);
+        rejectAnchor(mark, anchor);
+        rejectTag(mark, tag);
         if (!isUtf8(value))
-            stop(mark, "a text in UTF-8");
+            reject(mark, "text in UTF-8");
         yaml_value &scalar = add(mark, yaml_kind::Scalar);
         scalar.quoted = tag == QuotedTag;
         scalar.scalar = value;
@@ -86,39 +86,39 @@
     [[nodiscard]] yaml_value takeRoot() { return std::move(m_root); }
 
 private:
-    // yaml-cpp's tags for scalars without one of their own: plain and quoted.
+    // Tags that yaml-cpp assigns to plain and quoted scalars without an explicit tag.
     static constexpr std::string_view PlainTag = "?";
     static constexpr std::string_view QuotedTag = "!";
 
-    [[noreturn]] static void stop(const YAML::Mark &mark, std::string expected)
+    [[noreturn]] static void reject(const YAML::Mark &mark, std::string expected)
     {
-        throw parse_stopped{
+        throw document_rejected{
             configuration_error{"", mark.line + 1, mark.column + 1, "", "", std::move(expected)}};
     }
 
-    static void refuseAnchor(const YAML::Mark &mark, YAML::anchor_t anchor)
+    static void rejectAnchor(const YAML::Mark &mark, YAML::anchor_t anchor)
     {
         if (anchor != 0)
-            stop(mark, "no anchor (`&name`)");
+            reject(mark, "no anchor (`&name`)");
     }
 
-    static void refuseTag(const YAML::Mark &mark, const std::string &tag)
+    static void rejectTag(const YAML::Mark &mark, const std::string &tag)
     {
         if (!tag.empty() && tag != PlainTag && tag != QuotedTag)
-            stop(mark, "no tag (`!name`)");
+            reject(mark, "no tag (`!name`)");
     }
 
     void open(const YAML::Mark &mark, const std::string &tag, YAML::anchor_t anchor, yaml_kind kind)
     {
-        refuseAnchor(mark, anchor);
-        refuseTag(mark, tag);
+        rejectAnchor(mark, anchor);
+        rejectTag(mark, tag);
         if (m_open.size() >= m_limits.maxDepth)
-            stop(mark, "at most " + std::to_string(m_limits.maxDepth) + " levels of nesting");
+            reject(mark, "at most " + std::to_string(m_limits.maxDepth) + " levels of nesting");
         m_open.push_back(&add(mark, kind));
     }
 
-    /// Gives the key whose value comes next, or null.
-    [[nodiscard]] const yaml_value *openKey() const
+    /// Returns the key whose value comes next, or null.
+    [[nodiscard]] const yaml_value *pendingKey() const
     {
         if (m_open.empty() || m_open.back()->kind != yaml_kind::Mapping)
             return nullptr;
@@ -126,11 +126,11 @@
         return items.size() % 2 == 1 ? &items.back() : nullptr;
     }
 
-    // Pointers into `items` stay valid: a list grows only while its last item is complete.
+    // The pointers in `m_open` stay valid: a list only grows when its last item is complete.
     yaml_value &add(const YAML::Mark &mark, yaml_kind kind)
     {
         if (++m_count > m_limits.maxValues)
-            stop(mark, "at most " + std::to_string(m_limits.maxValues) + " values");
+            reject(mark, "at most " + std::to_string(m_limits.maxValues) + " values");
         yaml_value &value = m_open.empty() ? m_root : m_open.back()->items.emplace_back();
         value.kind = kind;
         value.line = mark.line + 1;
@@ -144,13 +144,13 @@
     std::vector<yaml_value *> m_open;
 };
 
-/// Reads from a text that it doesn't own.
+/// A read-only stream buffer over text that it does not own.
 class view_buffer final : public std::streambuf
 {
 public:
     explicit view_buffer(std::string_view text)
     {
-        // The buffer is only read from; std::streambuf has no const interface.
+        // The buffer is never written to; std::streambuf has no const interface.
         char *begin = const_cast<char *>(text.data());
         setg(begin, begin, begin + text.size());
     }
@@ -161,9 +161,9 @@
     return FirstLine + static_cast<int>(std::count(text.begin(), text.end(), '\n'));
 }
 
-bool endsWithMarker(std::string_view text)
+bool endsWithEndMarker(std::string_view text)
 {
-    const auto last = text.find_last_not_of(WhiteSpace);
+    const auto last = text.find_last_not_of(Whitespace);
     if (last == std::string_view::npos)
         return false;
     const std::string_view body = text.substr(0, last + 1);
@@ -176,8 +176,7 @@
     return configuration_error{"", line, column, "", "", std::move(expected)};
 }
 
-result<yaml_value, configuration_error> parseBounded(std::string_view text,
-                                                     const yaml_limits &limits)
+result<yaml_value, configuration_error> parseTree(std::string_view text, const yaml_limits &limits)
 {
     view_buffer buffer(text);
     std::istream stream(&buffer);
@@ -185,12 +184,12 @@
     try {
         YAML::Parser parser(stream);
         if (!parser.HandleNextDocument(builder))
-            return errorAt(FirstLine, 1, "a document; it is empty");
+            return errorAt(FirstLine, 1, "a non-empty document");
         tree_builder rest(limits);
         if (parser.HandleNextDocument(rest))
-            return errorAt(rest.takeRoot().line, 1, "one document; this is a second one");
-    } catch (const parse_stopped &stopped) {
-        return stopped.error;
+            return errorAt(rest.takeRoot().line, 1, "one document; this is the second one");
+    } catch (const document_rejected &rejected) {
+        return rejected.error;
     } catch (const YAML::Exception &error) {
         return errorAt(error.mark.line + 1, error.mark.column + 1, "YAML: " + error.msg);
     }
@@ -203,11 +202,11 @@
     if (text.size() > limits.maxBytes)
         return errorAt(FirstLine, 1, "at most " + std::to_string(limits.maxBytes) + " bytes");
     if (text.find('\0') != std::string_view::npos)
-        return errorAt(lineCount(text.substr(0, text.find('\0'))), 1, "a text without NUL bytes");
-    auto root = parseBounded(text, limits);
-    // A text cut off at the end of a line is often valid YAML with a shorter list.
-    if (root && marker == end_marker::Required && !endsWithMarker(text))
-        return errorAt(lineCount(text), 1, "the line `...` at the end; the text is cut off");
+        return errorAt(lineCount(text.substr(0, text.find('\0'))), 1, "text without NUL bytes");
+    auto root = parseTree(text, limits);
+    // A document truncated at the end of a line is often valid YAML with a shorter list.
+    if (root && marker == end_marker::Required && !endsWithEndMarker(text))
+        return errorAt(lineCount(text), 1, "the line `...` at the end; the document is truncated");
     return root;
 }
 
--- a/src/core/settings/yaml_document.h
+++ b/src/core/settings/yaml_document.h
@@ -13,21 +13,22 @@
 
 enum class yaml_kind { Null, Scalar, Sequence, Mapping };
 
-/// One value of a YAML document, with where it stands.
+/// A value of a YAML document and its position.
 struct yaml_value
 {
     yaml_kind kind = yaml_kind::Null;
-    bool quoted = false; ///< scalars: written in quotes, so it can only be a text
+    bool quoted = false; ///< scalars: in quotes, hence always a string
     int line = 0; ///< from 1
     int column = 0; ///< from 1
     std::string scalar;
-    std::vector<yaml_value> items; ///< of a sequence; of a mapping: key, value, key, value …
+    /// Items of a sequence, or alternating keys and values of a mapping.
+    std::vector<yaml_value> items;
 };
 
-/// Finds a key of a mapping, or returns null.
+/// Returns the value of a key of a mapping, or null if there is none.
 [[nodiscard]] const yaml_value *findKey(const yaml_value &mapping, std::string_view key);
 
-/// Bounds on a document that arrives from outside.
+/// Limits on the size of an untrusted document.
 struct yaml_limits
 {
     std::size_t maxBytes = std::size_t{1} << 20;
@@ -35,11 +36,11 @@
     std::size_t maxDepth = 12;
 };
 
-/// Whether a document has to end with the line `...`.
+/// Whether a document must end with the line `...`, which shows that it is not truncated.
 enum class end_marker { Optional, Required };
 
-/// Reads one document into a tree. Aliases, anchors and tags are refused: nothing here needs them,
-/// and aliases let a short text stand for a huge one.
+/// Parses one document into a tree. Aliases, anchors and tags are rejected: no document needs them,
+/// and a short text with aliases can expand to a huge document.
 [[nodiscard]] result<yaml_value, configuration_error> parseYaml(std::string_view text,
                                                                 std::string_view file,
                                                                 end_marker marker,
--- a/src/core/settings/yaml_reader.cpp
+++ b/src/core/settings/yaml_reader.cpp
@@ -15,10 +15,10 @@
 
 constexpr std::size_t MaxNameLength = 64;
 constexpr std::size_t MaxTextLength = 1024;
-constexpr std::size_t MaxShownLength = 60;
+constexpr std::size_t MaxDisplayLength = 60;
 constexpr std::string_view NameCharacters =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
-constexpr std::size_t FirstPunctuation = 62; // of NameCharacters
+constexpr std::size_t FirstPunctuation = 62; // index in NameCharacters
 constexpr std::string_view Digits = "0123456789";
 
 struct duration_unit
@@ -27,7 +27,7 @@
     std::int64_t milliseconds;
 };
 
-// "ms" comes before "s" and "m": a unit is matched at the end of the text.
+// "ms" precedes "s": the first unit that matches the end of the text is used.
 constexpr std::array DurationUnits{
     duration_unit{"ms", 1},
     duration_unit{"s", 1000},
@@ -47,20 +47,20 @@
     byte_unit{"GiB", std::int64_t{1} << 30},
 };
 
-std::string shortened(std::string_view text)
+std::string truncated(std::string_view text)
 {
-    if (text.size() <= MaxShownLength)
+    if (text.size() <= MaxDisplayLength)
         return std::string(text);
-    return std::string(text.substr(0, MaxShownLength)) + "…";
+    return std::string(text.substr(0, MaxDisplayLength)) + "…";
 }
 
-std::string shown(const yaml_value &value)
+std::string displayText(const yaml_value &value)
 {
     switch (value.kind) {
     case yaml_kind::Null:
         return "null";
     case yaml_kind::Scalar:
-        return shortened(value.scalar);
+        return truncated(value.scalar);
     case yaml_kind::Sequence:
         return "[…]";
     case yaml_kind::Mapping:
@@ -114,8 +114,8 @@
     return formatDuration(milliseconds(count));
 }
 
-// Multiplies `digits`.`fraction` by the unit without floating point, so that each machine reads
-// the same number.
+// Multiplies `digits`.`fraction` by the unit. Integer arithmetic gives the same result on every
+// machine.
 std::optional<milliseconds> scaled(std::string_view digits, std::string_view fraction,
                                    std::int64_t unit)
 {
@@ -222,16 +222,16 @@
 
 void value_reader::fail(std::string expected) const
 {
-    m_errors->add(*m_value, path(), shown(*m_value), std::move(expected));
+    m_errors->add(*m_value, path(), displayText(*m_value), std::move(expected));
 }
 
 std::optional<std::string> value_reader::text() const
 {
-    const bool fits = m_value->kind == yaml_kind::Scalar && !m_value->scalar.empty()
+    const bool valid = m_value->kind == yaml_kind::Scalar && !m_value->scalar.empty()
         && m_value->scalar.size() <= MaxTextLength;
-    if (fits)
+    if (valid)
         return m_value->scalar;
-    fail("a text of 1 to " + std::to_string(MaxTextLength) + " bytes");
+    fail("a string of 1 to " + std::to_string(MaxTextLength) + " bytes");
     return std::nullopt;
 }
 
@@ -297,17 +297,17 @@
         if (auto read = parseSocketAddress(m_value->scalar))
             return read;
     }
-    fail("an IP number with a port, such as 127.0.0.1:8080 or [::1]:8080");
+    fail("an IP address with a port, such as 127.0.0.1:8080 or [::1]:8080");
     return std::nullopt;
 }
 
 bool value_reader::isList(std::size_t minimum, std::size_t maximum) const
 {
-    const bool fits = m_value->kind == yaml_kind::Sequence && m_value->items.size() >= minimum
+    const bool valid = m_value->kind == yaml_kind::Sequence && m_value->items.size() >= minimum
         && m_value->items.size() <= maximum;
-    if (!fits)
+    if (!valid)
         fail("a list of " + std::to_string(minimum) + " to " + std::to_string(maximum) + " items");
-    return fits;
+    return valid;
 }
 
 mapping_reader::mapping_reader(const value_reader &reader)
@@ -326,18 +326,19 @@
         return;
     for (std::size_t i = 0; i < value.items.size(); i += 2) {
         const yaml_value &key = value.items[i];
-        if (std::find(m_asked.begin(), m_asked.end(), key.scalar) != m_asked.end())
+        if (std::find(m_requestedKeys.begin(), m_requestedKeys.end(), key.scalar)
+            != m_requestedKeys.end())
             continue;
-        std::string known;
-        for (const std::string_view each : m_asked)
-            known += (known.empty() ? "" : ", ") + std::string(each);
-        value_reader(key, m_reader, key.scalar).fail("a known key: " + known);
+        std::string requestedKeys;
+        for (const std::string_view each : m_requestedKeys)
+            requestedKeys += (requestedKeys.empty() ? "" : ", ") + std::string(each);
+        value_reader(key, m_reader, key.scalar).fail("a known key: " + requestedKeys);
     }
 }
 
-std::optional<value_reader> mapping_reader::find(std::string_view key, presence wanted)
+std::optional<value_reader> mapping_reader::find(std::string_view key, presence requirement)
 {
-    m_asked.push_back(key);
+    m_requestedKeys.push_back(key);
     const yaml_value &value = m_reader.value();
     if (value.kind != yaml_kind::Mapping)
         return std::nullopt;
@@ -345,7 +346,7 @@
         if (value.items[i].scalar == key)
             return value_reader(value.items[i + 1], m_reader, key);
     }
-    if (wanted == presence::Required) {
+    if (requirement == presence::Required) {
         const value_reader missing(value, m_reader, key);
         m_reader.errors().add(value, missing.path(), "", "this key");
     }
@@ -359,7 +360,7 @@
     for (std::size_t i = 0; i < items.size(); i += 2) {
         const yaml_value &key = items[i];
         if (key.kind != yaml_kind::Scalar || key.scalar.empty())
-            value_reader(key, m_reader, "?").fail("a text as the key");
+            value_reader(key, m_reader, "?").fail("a string as the key");
         else if (!seen.insert(key.scalar).second)
             value_reader(key, m_reader, key.scalar).fail("each key once");
     }
--- a/src/core/settings/yaml_reader.h
+++ b/src/core/settings/yaml_reader.h
@@ -18,7 +18,7 @@
 
 namespace orchidlead {
 
-/// Collects what is wrong with a document, up to a bound.
+/// Collects the errors in a document, up to a limit.
 class error_list
 {
 public:
@@ -26,13 +26,13 @@
         : m_file(std::move(file))
     { }
 
-    /// Adds an error at `value`; drops it once there are `MaxErrors`.
+    /// Adds an error at the position of `value`; dropped if there are already `MaxErrors`.
     void add(const yaml_value &value, std::string key, std::string text, std::string expected);
 
     [[nodiscard]] bool empty() const { return m_errors.empty(); }
     [[nodiscard]] std::size_t size() const { return m_errors.size(); }
     [[nodiscard]] bool full() const { return m_errors.size() >= MaxErrors; }
-    /// Gives the errors in the order of the text.
+    /// Returns the errors in document order.
     [[nodiscard]] std::vector<configuration_error> takeSorted();
 
     static constexpr std::size_t MaxErrors = 50;
@@ -42,37 +42,37 @@
     std::vector<configuration_error> m_errors;
 };
 
-/// Bounds of a whole number, both included.
+/// Inclusive bounds of an integer.
 struct integer_range
 {
     std::int64_t minimum = std::numeric_limits<std::int64_t>::min();
     std::int64_t maximum = std::numeric_limits<std::int64_t>::max();
 };
 
-/// Bounds of a duration, both included.
+/// Inclusive bounds of a duration.
 struct duration_range
 {
     milliseconds minimum{0};
     milliseconds maximum{std::chrono::hours{24}};
 };
 
-/// Reads a duration such as `200ms`, `1.5s`, `2m` or `1h`. Gives nothing where the text isn't one
-/// or isn't a whole number of milliseconds.
+/// Parses a duration such as `200ms`, `1.5s`, `2m` or `1h`. Returns nullopt if the text is not a
+/// duration or not a whole number of milliseconds.
 [[nodiscard]] std::optional<milliseconds> parseDuration(std::string_view text);
 
-/// Writes a duration in the largest unit that keeps it whole.
+/// Formats a duration as a whole number of the largest possible unit.
 [[nodiscard]] std::string formatDuration(milliseconds duration);
 
-/// Reads a number of bytes: `65536`, `64KiB`, `16MiB` or `1GiB`.
+/// Parses a number of bytes: `65536`, `64KiB`, `16MiB` or `1GiB`.
 [[nodiscard]] std::optional<std::int64_t> parseBytes(std::string_view text);
 
-/// Reads a whole decimal number.
+/// Parses a decimal integer.
 [[nodiscard]] std::optional<std::int64_t> parseInteger(std::string_view text);
 
-/// Reads one value of a document, as the type that is asked for.
+/// Reads one value of a document as a given type.
 ///
-/// Each read gives nothing where the value doesn't fit, and then has added an error. A reader
-/// refers to its parent, which must outlive it; the path is only put together for an error.
+/// A read of an invalid value adds an error and returns nullopt. A reader refers to its parent,
+/// which must outlive it; the path is built only when an error is reported.
 class value_reader
 {
 public:
@@ -99,12 +99,12 @@
     [[nodiscard]] error_list &errors() const { return *m_errors; }
     [[nodiscard]] std::string path() const;
 
-    /// Adds an error about this value.
+    /// Adds an error at this value.
     void fail(std::string expected) const;
 
-    /// Any text but an empty one.
+    /// A non-empty string.
     [[nodiscard]] std::optional<std::string> text() const;
-    /// A name: letters, digits, `.`, `_` and `-`, the first a letter or digit; at most 64.
+    /// A name of at most 64 letters, digits, `.`, `_` and `-`, starting with a letter or digit.
     [[nodiscard]] std::optional<std::string> name() const;
     [[nodiscard]] std::optional<bool> boolean() const;
     [[nodiscard]] std::optional<std::int64_t> integer(integer_range range = {}) const;
@@ -127,7 +127,7 @@
     }
 
     /// Calls `each` with a reader for every item of a list of `minimum` to `maximum` items; stops
-    /// when there are too many errors.
+    /// when the error list is full.
     template <class Each>
     void forEach(std::size_t minimum, std::size_t maximum, Each each) const
     {
@@ -149,30 +149,30 @@
 
 enum class presence { Optional, Required };
 
-/// Reads a mapping key by key, and knows which keys nobody asked for.
+/// Reads a mapping key by key and detects keys that were not requested.
 class mapping_reader
 {
 public:
-    /// Adds errors where the value is no mapping or has a key twice.
+    /// Adds errors if the value is not a mapping or has duplicate keys.
     explicit mapping_reader(const value_reader &reader);
     mapping_reader(const mapping_reader &) = delete;
     mapping_reader &operator=(const mapping_reader &) = delete;
 
-    /// Adds an error for each key that was never asked for.
+    /// Adds an error for each key that was not requested.
     ~mapping_reader();
 
     [[nodiscard]] const value_reader &reader() const { return m_reader; }
 
-    /// Gives a reader for the key's value; adds an error where a required key is missing.
+    /// Returns a reader for the value of `key`; adds an error if a required key is missing.
     [[nodiscard]] std::optional<value_reader> find(std::string_view key,
-                                                   presence wanted = presence::Optional);
+                                                   presence requirement = presence::Optional);
 
-    /// Sets `target` to what `parse` reads from the key's value; leaves it alone where the key is
-    /// absent or wrong.
+    /// Sets `target` to the value that `parse` reads; `target` stays unchanged if the key is absent
+    /// or its value invalid.
     template <class Target, class Parse>
-    void read(std::string_view key, presence wanted, Target &target, Parse parse)
+    void read(std::string_view key, presence requirement, Target &target, Parse parse)
     {
-        const auto found = find(key, wanted);
+        const auto found = find(key, requirement);
         if (!found)
             return;
         if (auto value = std::invoke(parse, *found))
@@ -204,7 +204,7 @@
     void checkKeys();
 
     value_reader m_reader;
-    std::vector<std::string_view> m_asked;
+    std::vector<std::string_view> m_requestedKeys;
 };
 
 } // namespace orchidlead
--- a/tests/core/examples_test.cpp
+++ b/tests/core/examples_test.cpp
@@ -19,7 +19,7 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-struct example_sizes
+struct example_document
 {
     std::string file;
     std::size_t dataCenters;
@@ -29,17 +29,18 @@
 
 } // namespace
 
-TEST_CASE("the published examples are valid, have today's sizes, and render for every customer")
+TEST_CASE("the example configurations are valid and render for every customer")
 {
-    const example_sizes sizes = GENERATE(example_sizes{"vilistlasvork.yaml", 4, 12, 5},
-                                         example_sizes{"ruta-lactea.yaml", 4, 18, 5});
-    const auto read = parsePublishedConfiguration(readExample(sizes.file), sizes.file, 1);
+    const example_document example = GENERATE(example_document{"vilistlasvork.yaml", 4, 12, 5},
+                                              example_document{"ruta-lactea.yaml", 4, 18, 5});
+    const auto read = parsePublishedConfiguration(readExample(example.file), example.file, 1);
     INFO((read ? "" : read.error().front().message()));
     REQUIRE(read);
     const published_configuration &configuration = *read.value();
-    CHECK(configuration.dataCenters.size() == sizes.dataCenters);
-    CHECK(configuration.findService(service_id("model-runners"))->servers.size() == sizes.runners);
-    CHECK(configuration.customers.size() == sizes.customers);
+    CHECK(configuration.dataCenters.size() == example.dataCenters);
+    CHECK(configuration.findService(service_id("model-runners"))->servers.size()
+          == example.runners);
+    CHECK(configuration.customers.size() == example.customers);
     for (const auto &customer : configuration.customers) {
         for (const auto &pipeline : customer.settings->pipelines) {
             CAPTURE(customer.id.value, pipeline.id.value);
@@ -48,7 +49,7 @@
     }
 }
 
-TEST_CASE("the example of settings is valid")
+TEST_CASE("the example settings are valid")
 {
     const auto read = parseSettings(readExample("settings.yaml"), "settings.yaml");
     INFO((read ? "" : read.error().front().message()));
--- a/tests/core/published_configuration_test.cpp
+++ b/tests/core/published_configuration_test.cpp
@@ -9,8 +9,8 @@
 namespace orchidlead {
 namespace {
 
-// Each bad input below replaces one line of this document, so that its line number is known.
-const std::vector<std::string> GoodLines{
+// Each invalid input below replaces lines of this document, so that the line of its error is known.
+const std::vector<std::string> ValidLines{
     /* 1 */ "format: 1",
     /* 2 */ "data_centers:",
     /* 3 */ "  - {name: north-1, region: north}",
@@ -73,7 +73,7 @@
 
 std::string withLine(std::size_t number, const std::string &line)
 {
-    auto lines = GoodLines;
+    auto lines = ValidLines;
     lines.at(number - 1) = line;
     return join(lines);
 }
@@ -105,10 +105,10 @@
     int line;
     int column;
     std::string key;
-    std::string expected; ///< a part of it
+    std::string expected; ///< substring
 };
 
-void requireErrors(const std::vector<expected_error> &cases)
+void checkErrors(const std::vector<expected_error> &cases)
 {
     for (const auto &each : cases) {
         const auto read = parse(each.text);
@@ -125,20 +125,20 @@
     }
 }
 
-const pipeline_plan &plan(const configuration_ptr &configuration, const std::string &customer,
-                          std::shared_ptr<const pipeline_plan> &keep)
+const pipeline_plan &renderChat(const configuration_ptr &configuration, const std::string &customer,
+                                std::shared_ptr<const pipeline_plan> &owner)
 {
     auto rendered = renderPipeline(*configuration, customer_id(customer), pipeline_id("chat"));
     REQUIRE(rendered);
-    keep = rendered.value();
-    return *keep;
+    owner = rendered.value();
+    return *owner;
 }
 
 } // namespace
 
-TEST_CASE("a good published configuration is read whole")
+TEST_CASE("a valid published configuration is parsed completely")
 {
-    const auto configuration = parsed(join(GoodLines));
+    const auto configuration = parsed(join(ValidLines));
     CHECK(configuration->version == Version);
     REQUIRE(configuration->findServer(backend_server_id("r1")) != nullptr);
     CHECK(configuration->findServer(backend_server_id("r1"))->address
@@ -154,11 +154,11 @@
     CHECK(configuration->findCustomer(customer_id("delta")) == nullptr);
 }
 
-TEST_CASE("a customer's parameters decide stages, model, deadline and priority")
+TEST_CASE("the parameters of a customer determine stages, model, deadline and priority")
 {
-    const auto configuration = parsed(join(GoodLines));
-    std::shared_ptr<const pipeline_plan> keep;
-    const auto &chat = plan(configuration, "alpha", keep);
+    const auto configuration = parsed(join(ValidLines));
+    std::shared_ptr<const pipeline_plan> owner;
+    const auto &chat = renderChat(configuration, "alpha", owner);
     CHECK(chat.customer == customer_id("alpha"));
     CHECK(chat.configurationVersion == Version);
     CHECK(chat.priority == priority::High);
@@ -170,28 +170,28 @@
     CHECK(chat.stages[1].path == "/v1/completions");
 }
 
-TEST_CASE("a stage that doesn't run hands its inputs on to those that wait for it")
+TEST_CASE("stages that depend on an omitted stage take the inputs of that stage")
 {
-    const auto configuration = parsed(join(GoodLines));
-    std::shared_ptr<const pipeline_plan> keep;
-    const auto &without = plan(configuration, "alpha", keep);
+    const auto configuration = parsed(join(ValidLines));
+    std::shared_ptr<const pipeline_plan> owner;
+    const auto &without = renderChat(configuration, "alpha", owner);
     CHECK(without.stages[1].inputs == std::vector<std::uint32_t>{0});
-    const auto &with = plan(configuration, "beta", keep);
+    const auto &with = renderChat(configuration, "beta", owner);
     REQUIRE(with.stages.size() == 3);
     CHECK(with.limits.maxOpenRequests == 9);
     CHECK(with.stages[1].timeout == milliseconds(1500));
     CHECK(with.stages[2].inputs == std::vector<std::uint32_t>{1});
 }
 
-TEST_CASE("stages without inputs of their own run in the customer's order")
+TEST_CASE("stages without explicit inputs run in the order that the customer sets")
 {
-    auto lines = GoodLines;
+    auto lines = ValidLines;
     lines[28] = "      - {name: encode, service: encoders}";
     lines[29] = "      - {name: lookup, service: encoders}";
     lines[40] = "        parameters: {model: large, steps: [lookup, encode, charge]}";
     const auto configuration = parsed(join(lines));
-    std::shared_ptr<const pipeline_plan> keep;
-    const auto &chat = plan(configuration, "alpha", keep);
+    std::shared_ptr<const pipeline_plan> owner;
+    const auto &chat = renderChat(configuration, "alpha", owner);
     REQUIRE(chat.stages.size() == 3);
     CHECK(chat.stages[0].id == stage_id("lookup"));
     CHECK(chat.stages[1].id == stage_id("encode"));
@@ -200,24 +200,24 @@
     CHECK_FALSE(chat.repeatable());
 }
 
-TEST_CASE("a stage may be switched off by a parameter, and hands its inputs on as well")
+TEST_CASE("stages that depend on a stage disabled by a parameter take the inputs of that stage")
 {
-    auto lines = GoodLines;
+    auto lines = ValidLines;
     lines[23] = "      - {name: search, type: boolean, default: false}";
     lines[25] = "    priority: low";
     lines[29] = "      - {name: lookup, service: encoders, after: [encode], enabled: '${search}'}";
     lines[40] = "        parameters: {model: large, search: true}";
     const auto configuration = parsed(join(lines));
-    std::shared_ptr<const pipeline_plan> keep;
-    CHECK(plan(configuration, "alpha", keep).stages.size() == 3);
-    const auto &without = plan(configuration, "beta", keep);
+    std::shared_ptr<const pipeline_plan> owner;
+    CHECK(renderChat(configuration, "alpha", owner).stages.size() == 3);
+    const auto &without = renderChat(configuration, "beta", owner);
     REQUIRE(without.stages.size() == 2);
     CHECK(without.stages[1].inputs == std::vector<std::uint32_t>{0});
 }
 
 TEST_CASE("an unknown customer or pipeline has no plan")
 {
-    const auto configuration = parsed(join(GoodLines));
+    const auto configuration = parsed(join(ValidLines));
     const auto noCustomer = renderPipeline(*configuration, customer_id("x"), pipeline_id("chat"));
     REQUIRE_FALSE(noCustomer);
     CHECK(noCustomer.error().failure == render_failure::UnknownCustomer);
@@ -226,17 +226,17 @@
     CHECK(noPipeline.error().failure == render_failure::UnknownPipeline);
 }
 
-TEST_CASE("each fault of a list of data centres, services or servers is named with its place")
+TEST_CASE("errors in data centres, services and servers are reported with their positions")
 {
     const std::string server =
         "      - {name: e1, address: '127.0.0.1:9001', data_center: north-1}";
-    requireErrors({
+    checkErrors({
         {withLine(1, "format: 2"), 1, 9, "format", "from 1 to 1"},
         {withLine(1, "formats: 1\nformat: 1"), 1, 1, "formats", "a known key: format"},
         {withLine(1, "format: 1\nformat: 1"), 2, 1, "format", "each key once"},
         {withLine(3, "  - {name: north-1, region: north, zone: 1}"), 3, 36, "data_centers[0].zone",
          "a known key: name, region"},
-        {withLine(3, GoodLines[2] + "\n" + GoodLines[2]), 4, 12, "data_centers[1].name",
+        {withLine(3, ValidLines[2] + "\n" + ValidLines[2]), 4, 12, "data_centers[1].name",
          "no other data centre"},
         {withLine(7, "    kind: embedder"), 7, 11, "services[0].kind", "one of encoder, retriever"},
         {withLine(7, "    kind: encoder\n    repeatable: 1"), 8, 17, "services[0].repeatable",
@@ -244,11 +244,11 @@
         {withLine(7, "    kind: encoder\n    models: [a]"), 8, 13, "services[0].models",
          "no models"},
         {withLine(9, "      - {name: e1, address: '127.0.0.1', data_center: north-1}"), 9, 29,
-         "services[0].servers[0].address", "an IP number with a port"},
+         "services[0].servers[0].address", "an IP address with a port"},
         {withLine(9, "      - {name: e1, address: 'localhost:9001', data_center: north-1}"), 9, 29,
-         "services[0].servers[0].address", "an IP number with a port"},
+         "services[0].servers[0].address", "an IP address with a port"},
         {withLine(9, "      - {name: e1, address: '127.0.0.1:0', data_center: north-1}"), 9, 29,
-         "services[0].servers[0].address", "an IP number with a port"},
+         "services[0].servers[0].address", "an IP address with a port"},
         {withLine(9, "      - {name: e1, address: '127.0.0.1:9001', data_center: east}"), 9, 60,
          "services[0].servers[0].data_center", "a data centre in `data_centers`"},
         {withLine(9,
@@ -265,9 +265,9 @@
     });
 }
 
-TEST_CASE("each fault of a template is named with its place")
+TEST_CASE("errors in templates are reported with their positions")
 {
-    requireErrors({
+    checkErrors({
         {withLine(20, "      - {name: steps, type: list, default: [encode]}"), 20, 29,
          "templates[0].parameters[0].type", "one of duration, integer"},
         {withLine(21, "      - {name: deadline, type: duration, default: 5s, max: 4s}"), 21, 51,
@@ -284,7 +284,7 @@
          62, "templates[0].parameters[2].default", "no default"},
         {withLine(23, "      - {name: tokens, type: integer}"), 23, 9,
          "templates[0].parameters[3].default", "`required: true`"},
-        {withLine(24, GoodLines[23] + "\n" + GoodLines[23]), 25, 9, "templates[0].parameters[5]",
+        {withLine(24, ValidLines[23] + "\n" + ValidLines[23]), 25, 9, "templates[0].parameters[5]",
          "no other parameter"},
         {withLine(25, "    deadline: ${limit}"), 25, 15, "templates[0].deadline",
          "the name of a parameter"},
@@ -310,13 +310,13 @@
     });
 }
 
-TEST_CASE("each fault of a customer is named with its place")
+TEST_CASE("errors in customers are reported with their positions")
 {
     const auto alpha = [](const std::string &parameters) {
         return withLine(41, "        parameters: {" + parameters + "}");
     };
     const std::string entry = "customers[0].pipelines[0]";
-    requireErrors({
+    checkErrors({
         {withLine(35, "  - names: [alpha, beta]"), 42, 13, "customers[1].names[0]",
          "no other customer"},
         {withLine(35, "  - name: alpha\n    names: [delta]"), 35, 5, "customers[0]",
@@ -325,7 +325,7 @@
          "a data centre in"},
         {withLine(37, "    weight: 0"), 37, 13, "customers[0].weight", "from 1 to 1000"},
         {withLine(40, "        template: reply"), 40, 19, entry + ".template", "a template in"},
-        {withLine(46, GoodLines[45] + "\n" + GoodLines[45]), 47, 16,
+        {withLine(46, ValidLines[45] + "\n" + ValidLines[45]), 47, 16,
          "customers[1].pipelines[1].name", "no other pipeline"},
         {alpha("steps: [encode, generate]"), 39, 9, entry + ".parameters.model", "requires it"},
         {alpha("model: large, tone: kind"), 41, 36, entry + ".parameters.tone",
@@ -349,26 +349,26 @@
     });
 }
 
-TEST_CASE("a call that may not be repeated is only allowed as the last stage")
+TEST_CASE("a stage that is not repeatable is allowed only as the last stage")
 {
-    auto lines = GoodLines;
+    auto lines = ValidLines;
     lines[30] = "      - {name: generate, service: runners, model: '${model}',";
     lines[40] = "        parameters: {model: large, steps: [encode, charge, generate]}";
-    requireErrors({{join(lines), 41, 43, "customers[0].pipelines[0].parameters.steps",
-                    "only the last may be not repeatable"}});
+    checkErrors({{join(lines), 41, 43, "customers[0].pipelines[0].parameters.steps",
+                  "only the last may be not repeatable"}});
     lines[29] = "      - {name: lookup, service: encoders, repeatable: false}";
     lines[40] = "        parameters: {model: large, steps: [encode, lookup, charge]}";
     lines[45] =
         "      - {name: chat, template: answer, parameters: {model: small, steps: [encode]}}";
-    requireErrors({{join(lines), 41, 43, "customers[0].pipelines[0].parameters.steps",
-                    "only the last may be not repeatable"}});
+    checkErrors({{join(lines), 41, 43, "customers[0].pipelines[0].parameters.steps",
+                  "only the last may be not repeatable"}});
 }
 
-TEST_CASE("text that isn't one plain document is refused where it breaks")
+TEST_CASE("text that is not a single valid document is rejected with the position of the error")
 {
     const std::string bytes = "format: 1\nservices: '\xff\xfe'\n...\n";
-    requireErrors({
-        {"", 1, 1, "", "a document; it is empty"},
+    checkErrors({
+        {"", 1, 1, "", "a non-empty document"},
         {"# nothing\n...\n", 2, 1, "", "a mapping"},
         {"- a\n...\n", 1, 1, "", "a mapping"},
         {"format: [1\n...\n", 2, 1, "", "YAML: end of sequence flow not found"},
@@ -380,14 +380,15 @@
         {std::string(13, '[') + std::string(13, ']') + "\n...\n", 1, 13, "", "at most 12 levels"},
         {"a: " + std::string((1U << 20U) + 1, 'x') + "\n...\n", 1, 1, "", "at most 1048576 bytes"},
         {"[" + std::string(450'000, ',') + "]\n...\n", 1, 400'001, "", "at most 400000 values"},
-        {join({GoodLines.begin(), GoodLines.end() - 1}), 47, 1, "", "the line `...` at the end"},
+        {join({ValidLines.begin(), ValidLines.end() - 1}), 47, 1, "", "the line `...` at the end"},
     });
 }
 
-TEST_CASE("a damaged document is refused with places in it, or serves every pipeline it names")
+TEST_CASE(
+    "a damaged document is rejected with valid positions or all its pipelines can be rendered")
 {
     rc::prop("a damaged document", [] {
-        std::string text = join(GoodLines);
+        std::string text = join(ValidLines);
         const auto edits = *rc::gen::inRange(1, 6);
         for (int i = 0; i < edits; ++i) {
             const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -416,7 +417,7 @@
     });
 }
 
-TEST_CASE("a document full of faults gives a bounded number of errors")
+TEST_CASE("the number of errors reported for a document is limited")
 {
     std::string text = "format: 1\ndata_centers:\n";
     for (int i = 0; i < 60; ++i)
@@ -426,9 +427,9 @@
     CHECK(read.error().size() == 50);
 }
 
-TEST_CASE("a published configuration that was cut off is refused at every length")
+TEST_CASE("a published configuration truncated at any length is rejected")
 {
-    const std::string text = join(GoodLines);
+    const std::string text = join(ValidLines);
     for (std::size_t length = 0; length < text.size() - 1; ++length) {
         CAPTURE(length);
         REQUIRE_FALSE(parse(text.substr(0, length)));
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -9,8 +9,8 @@
 
 using Catch::Matchers::Contains;
 
-// Each bad input below replaces one line of this file, so that its line number is known.
-const std::vector<std::string> GoodLines{
+// Each invalid input below replaces one line of this file, so that the line of its error is known.
+const std::vector<std::string> ValidLines{
     /* 1 */ "vm: vm-1",
     /* 2 */ "data_center: north-1",
     /* 3 */ "region: north",
@@ -25,31 +25,31 @@
 std::string withLine(std::size_t number, const std::string &line)
 {
     std::string text;
-    for (std::size_t i = 0; i < GoodLines.size(); ++i)
-        text += (i + 1 == number ? line : GoodLines[i]) + "\n";
+    for (std::size_t i = 0; i < ValidLines.size(); ++i)
+        text += (i + 1 == number ? line : ValidLines[i]) + "\n";
     return text;
 }
 
-std::string good()
+std::string validSettings()
 {
     return withLine(0, "");
 }
 
-struct bad_settings
+struct invalid_settings
 {
-    std::size_t replaced; ///< number of the line that `text` replaces
+    std::size_t replacedLine; ///< number of the line that `text` replaces
     std::string text;
     int line;
     int column;
     std::string key;
-    std::string expected; ///< a part of it
+    std::string expected; ///< substring
 };
 
 } // namespace
 
-TEST_CASE("good settings are read, and what they leave out has its default")
+TEST_CASE("valid settings are parsed and omitted keys have their defaults")
 {
-    const auto read = parseSettings(good(), "settings.yaml");
+    const auto read = parseSettings(validSettings(), "settings.yaml");
     REQUIRE(read);
     const process_settings &settings = read.value();
     CHECK(settings.vm == vm_id("vm-1"));
@@ -63,20 +63,20 @@
     CHECK(settings.tls.certificateFile.empty());
 }
 
-TEST_CASE("each fault of a settings file is named with its place")
+TEST_CASE("errors in a settings file are reported with their positions")
 {
-    const std::vector<bad_settings> cases{
+    const std::vector<invalid_settings> cases{
         {1, "vm: [a]", 1, 5, "vm", "a name"},
         {1, "vm: 'a b'", 1, 5, "vm", "a name"},
         {2, "", 1, 1, "data_center", "this key"},
         {2, "data_center: a\ndata_center: b", 3, 1, "data_center", "each key once"},
         {3, "region: north\nzone: 1", 4, 1, "zone", "a known key: vm, data_center"},
         {4, "listen: {caller: 'a:1', operator: '127.0.0.1:2', peer: '127.0.0.1:3'}", 4, 18,
-         "listen.caller", "an IP number"},
+         "listen.caller", "an IP address"},
         {4, "listen: {caller: '127.0.0.1:1', operator: '127.0.0.1:2', peer: '127.0.0.1:2'}", 4, 9,
          "listen", "three different addresses"},
         {4, "listen: {caller: '127.0.0.1:70000', operator: '127.0.0.1:2', peer: '127.0.0.1:3'}", 4,
-         18, "listen.caller", "an IP number"},
+         18, "listen.caller", "an IP address"},
         {6, "limits: {max_body_bytes: 1MB}", 6, 26, "limits.max_body_bytes",
          "bytes such as 65536, 64KiB or 16MiB from 1KiB to 1GiB"},
         {6, "limits: {max_body_bytes: 1GiB}", 6, 9, "limits.max_input_bytes",
@@ -97,7 +97,7 @@
         {8, "tls: {certificate: a.pem}", 8, 6, "tls.key", "this key"},
     };
     for (const auto &each : cases) {
-        const auto read = parseSettings(withLine(each.replaced, each.text), "settings.yaml");
+        const auto read = parseSettings(withLine(each.replacedLine, each.text), "settings.yaml");
         CAPTURE(each.text, each.key);
         REQUIRE_FALSE(read);
         std::string messages;
@@ -113,7 +113,7 @@
     }
 }
 
-TEST_CASE("all faults of a settings file are reported at once, in the order of the text")
+TEST_CASE("all errors in a settings file are reported at once in document order")
 {
     const auto read = parseSettings("vm: ''\nregion: '-'\nlisten: {peer: x}\n", "settings.yaml");
     REQUIRE_FALSE(read);
