--- a/examples/membership_example.cpp
+++ b/examples/membership_example.cpp
@@ -45,7 +45,7 @@
             nodes.push_back({vm, membership{clock, makeOptions(vm)}});
         for (node &one : nodes) {
             membership_actions actions;
-            one.view.setListed(1, vms, actions); // the platform's list, version 1
+            one.view.setVmList(1, vms, actions); // the platform's list, version 1
             carryOut(one, actions);
         }
     }
--- a/include/orchidlead/key_home.h
+++ b/include/orchidlead/key_home.h
@@ -7,7 +7,7 @@
 #include <orchidlead/key_home_messages.h>
 #include <orchidlead/lease_voter.h>
 #include <orchidlead/membership.h>
-#include <orchidlead/recent_lists.h>
+#include <orchidlead/recent_vm_lists.h>
 
 #include <array>
 #include <cstddef>
@@ -171,7 +171,7 @@
     key_home_settings m_settings;
     const clock_source &m_clock;
     lease_voter<Guards> m_voter;
-    recent_lists m_lists;
+    recent_vm_lists m_lists;
     std::vector<vm_id> m_live; // listed, alive and not leaving; including this node
     std::array<shard_state, ShardCount> m_shards;
     std::unordered_map<vm_id, voter_votes> m_votes;
--- a/include/orchidlead/membership.h
+++ b/include/orchidlead/membership.h
@@ -54,7 +54,7 @@
     listed_vm vm;
     orchidlead::incarnation incarnation = 0; ///< 0: nothing received yet
     member_state state = member_state::Suspect;
-    steady_time lastHeard; ///< last datagram from the member itself
+    steady_time lastReceivedAt; ///< last datagram from the member itself
     bool listed = false; ///< on the platform's VM list; other members take no roles
 };
 
@@ -83,7 +83,7 @@
 };
 
 /// Action: an unlisted member was removed, since it is dead or was never reached.
-struct member_forgotten
+struct member_removed
 {
     vm_id vm;
 };
@@ -93,7 +93,7 @@
 {
     vm_id vm;
     configuration_stamp configuration;
-    std::optional<steady_time> askedAt; ///< when the probe that this answers was sent
+    std::optional<steady_time> probeSentAt; ///< when the probe that this answers was sent
     std::string application; ///< opaque application data of the peer
 };
 
@@ -110,8 +110,8 @@
     incarnation by = 0;
 };
 
-using membership_action = std::variant<gossip_datagram, member_changed, member_forgotten,
-                                       peer_report, paused, superseded>;
+using membership_action =
+    std::variant<gossip_datagram, member_changed, member_removed, peer_report, paused, superseded>;
 using membership_actions = std::vector<membership_action>;
 
 /// Signs and verifies datagrams with a key shared by all nodes. Implemented by the embedding
@@ -137,7 +137,7 @@
     milliseconds remoteProbeInterval{2000}; ///< for members in other data centres
     /// With more members than this in other data centres, `remoteProbeInterval` is multiplied by
     /// the ratio, since each of them is probed by more nodes.
-    std::size_t remoteProbesInFull = 1024;
+    std::size_t fullRateRemoteMembers = 1024;
     std::uint32_t maxRemoteIntervalFactor = 5; ///< bound on that factor
     milliseconds probeTimeout{300}; ///< until indirect probes are sent
     std::size_t indirectProbes = 3; ///< members that probe the target on request
@@ -199,18 +199,18 @@
 
     /// Sets the platform's VM list. Version 0 is a list of first contacts from the settings and
     /// does not count as a confirmation. Versions older than the current one are ignored.
-    void setListed(std::uint64_t version, const std::vector<listed_vm> &vms,
+    void setVmList(std::uint64_t version, const std::vector<listed_vm> &vms,
                    membership_actions &out);
     /// Records that the platform reported its VM list as unchanged.
-    void confirmListed(std::uint64_t version);
+    void confirmVmList(std::uint64_t version);
     /// Returns when the platform last confirmed this node's VM list, to this node or to a peer with
     /// the same list; never later than the true time. Empty: never confirmed.
-    [[nodiscard]] std::optional<steady_time> listConfirmedAt() const;
+    [[nodiscard]] std::optional<steady_time> vmListConfirmedAt() const;
     void onDatagram(const socket_address &from, std::string_view bytes, membership_actions &out);
     /// Runs timers; call every 50 to 100 ms.
     void tick(membership_actions &out);
     /// Detects a pause of the process; call before acting on earlier state.
-    void noticePause(membership_actions &out);
+    void detectPause(membership_actions &out);
 
     /// Sets the stamp that every datagram carries.
     void setConfiguration(const configuration_stamp &stamp);
--- a/include/orchidlead/recent_lists.h
+++ b/include/orchidlead/recent_vm_lists.h
@@ -14,12 +14,12 @@
 /// Two nodes may have different VM lists, and majorities of different lists need not overlap. They
 /// do overlap if the list of each lease holder was confirmed recently, and each holder needs a
 /// majority of every list of a period longer than the time for which lists can differ.
-class recent_lists
+class recent_vm_lists
 {
 public:
     /// The current list is valid for `maxAge` after its last confirmation. A replaced list is kept
     /// for `retention`.
-    recent_lists(milliseconds maxAge, milliseconds retention);
+    recent_vm_lists(milliseconds maxAge, milliseconds retention);
 
     /// Sets the current list; `confirmedAt` is when the platform last confirmed it.
     void set(std::vector<vm_id> vms, steady_time confirmedAt, steady_time now);
@@ -36,7 +36,7 @@
     [[nodiscard]] bool complete(steady_time now) const;
 
     /// Returns when the current list becomes too old.
-    [[nodiscard]] steady_time freshUntil() const { return m_confirmedAt + m_maxAge; }
+    [[nodiscard]] steady_time validUntil() const { return m_confirmedAt + m_maxAge; }
 
     /// Returns when the vote of a VM expires.
     using vote_expiry = std::function<steady_time(const vm_id &)>;
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -28,7 +28,7 @@
 
 member member_record::toMember() const
 {
-    return {vm, incarnation, state(), lastHeard, listed};
+    return {vm, incarnation, state(), lastReceivedAt, listed};
 }
 
 const member_record *member_table::find(const vm_id &vm) const
@@ -56,7 +56,7 @@
     const auto found = m_records.find(vm);
     if (found == m_records.end())
         return false;
-    found->second.lastHeard = receivedAt;
+    found->second.lastReceivedAt = receivedAt;
     return true;
 }
 
--- a/src/core/membership/member_table.h
+++ b/src/core/membership/member_table.h
@@ -23,7 +23,7 @@
     member_status status = member_status::Suspect;
     bool leaving = false; ///< announced by the member itself
     bool listed = false; ///< on the platform's VM list
-    steady_time lastHeard;
+    steady_time lastReceivedAt;
     /// Suspected: when the suspicion expires. Dead: since when.
     std::optional<steady_time> deadAt;
     std::set<std::uint32_t> suspectingNodes; ///< hashes of the nodes that suspect it
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -25,7 +25,7 @@
     own.generation =
         static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
     own.status = member_status::Alive;
-    own.lastHeard = source.now();
+    own.lastReceivedAt = source.now();
     table.add(own);
     m_gossipQueue.add(options.self.vm);
     m_local = {true, options.probeInterval, source.now(), {}, 0};
@@ -38,7 +38,7 @@
 }
 
 // Compares both clocks, since the monotonic one may stop while the machine is suspended.
-void membership::implementation::noticePause()
+void membership::implementation::detectPause()
 {
     const auto now = clock.now();
     const auto wall = clock.wallNow();
@@ -72,14 +72,14 @@
     probeNow(options.indirectProbes);
 }
 
-void membership::implementation::setListed(std::uint64_t version, const std::vector<listed_vm> &vms)
+void membership::implementation::setVmList(std::uint64_t version, const std::vector<listed_vm> &vms)
 {
     if (m_hasList && version < m_listVersion)
         return;
     m_hasList = true;
     m_listVersion = version;
     if (version > 0)
-        listConfirmedAt = clock.now();
+        vmListConfirmedAt = clock.now();
     std::set<vm_id> listed;
     for (const auto &vm : vms) {
         if (listed.size() >= options.maxMembers)
@@ -101,10 +101,10 @@
     removeInactiveUnlisted();
 }
 
-void membership::implementation::confirmListed(std::uint64_t version)
+void membership::implementation::confirmVmList(std::uint64_t version)
 {
     if (m_hasList && version == m_listVersion)
-        listConfirmedAt = clock.now();
+        vmListConfirmedAt = clock.now();
 }
 
 void membership::implementation::addListed(const listed_vm &vm)
@@ -137,7 +137,7 @@
         table.erase(vm);
         m_gossipQueue.remove(vm);
         m_suspects.erase(vm);
-        emit(member_forgotten{vm});
+        emit(member_removed{vm});
     }
 }
 
@@ -156,7 +156,7 @@
 
 void membership::implementation::onDatagram(const socket_address &from, std::string_view bytes)
 {
-    noticePause();
+    detectPause();
     counters.receivedDatagrams++;
     counters.receivedBytes += bytes.size() + DatagramHeaderBytes;
     std::optional<std::string_view> opened = bytes;
@@ -216,7 +216,7 @@
     const bool answers = message.kind == gossip_kind::Ack && pending != m_probes.end()
         && pending->second.target == message.sender.vm;
     if (answers) {
-        report.askedAt = pending->second.sentAt;
+        report.probeSentAt = pending->second.sentAt;
         updateListConfirmation(message, pending->second.sentAt);
     }
     emit(std::move(report));
@@ -227,14 +227,14 @@
 void membership::implementation::updateListConfirmation(const gossip_message &message,
                                                         steady_time probeSentAt)
 {
-    if (!listConfirmedAt || message.listVersion != m_listVersion || message.listAge >= MaxListAge)
+    if (!vmListConfirmedAt || message.listVersion != m_listVersion || message.listAge >= MaxListAge)
         return;
-    listConfirmedAt = std::max(*listConfirmedAt, probeSentAt - message.listAge);
+    vmListConfirmedAt = std::max(*vmListConfirmedAt, probeSentAt - message.listAge);
 }
 
 void membership::implementation::tick()
 {
-    noticePause();
+    detectPause();
     if (m_stopped)
         return;
     runRound(m_local);
@@ -254,21 +254,21 @@
 membership::~membership() = default;
 membership::membership(membership &&) noexcept = default;
 
-void membership::setListed(std::uint64_t version, const std::vector<listed_vm> &vms,
+void membership::setVmList(std::uint64_t version, const std::vector<listed_vm> &vms,
                            membership_actions &out)
 {
     m_implementation->collectInto(out);
-    m_implementation->setListed(version, vms);
+    m_implementation->setVmList(version, vms);
 }
 
-void membership::confirmListed(std::uint64_t version)
+void membership::confirmVmList(std::uint64_t version)
 {
-    m_implementation->confirmListed(version);
+    m_implementation->confirmVmList(version);
 }
 
-std::optional<steady_time> membership::listConfirmedAt() const
+std::optional<steady_time> membership::vmListConfirmedAt() const
 {
-    return m_implementation->listConfirmedAt;
+    return m_implementation->vmListConfirmedAt;
 }
 
 void membership::onDatagram(const socket_address &from, std::string_view bytes,
@@ -284,10 +284,10 @@
     m_implementation->tick();
 }
 
-void membership::noticePause(membership_actions &out)
+void membership::detectPause(membership_actions &out)
 {
     m_implementation->collectInto(out);
-    m_implementation->noticePause();
+    m_implementation->detectPause();
 }
 
 void membership::setConfiguration(const configuration_stamp &stamp)
--- a/src/core/membership/membership_gossip.cpp
+++ b/src/core/membership/membership_gossip.cpp
@@ -26,8 +26,8 @@
     message.sender = member_table::toUpdate(self());
     message.configuration = configuration;
     message.digest = table.digest();
-    if (listConfirmedAt) {
-        const auto age = std::chrono::ceil<milliseconds>(clock.now() - *listConfirmedAt);
+    if (vmListConfirmedAt) {
+        const auto age = std::chrono::ceil<milliseconds>(clock.now() - *vmListConfirmedAt);
         message.listVersion = m_listVersion;
         message.listAge = milliseconds{std::min<std::int64_t>(age.count(), MaxListAge.count())};
     }
--- a/src/core/membership/membership_implementation.h
+++ b/src/core/membership/membership_implementation.h
@@ -95,11 +95,11 @@
 public:
     implementation(const clock_source &clock, membership_options options);
 
-    void setListed(std::uint64_t version, const std::vector<listed_vm> &vms);
-    void confirmListed(std::uint64_t version);
+    void setVmList(std::uint64_t version, const std::vector<listed_vm> &vms);
+    void confirmVmList(std::uint64_t version);
     void onDatagram(const socket_address &from, std::string_view bytes);
     void tick();
-    void noticePause();
+    void detectPause();
     void announce();
     void probeNow(std::size_t count);
     void contact(const std::vector<socket_address> &addresses);
@@ -116,7 +116,7 @@
     configuration_stamp configuration;
     std::string application;
     std::optional<steady_time> lastPauseStart;
-    std::optional<steady_time> listConfirmedAt;
+    std::optional<steady_time> vmListConfirmedAt;
     std::uint32_t healthScore = 0;
 
 private:
--- a/src/core/membership/membership_probes.cpp
+++ b/src/core/membership/membership_probes.cpp
@@ -98,7 +98,7 @@
 {
     if (round.local)
         return 1;
-    const auto ratio = round.order.size() / std::max<std::size_t>(1, options.remoteProbesInFull);
+    const auto ratio = round.order.size() / std::max<std::size_t>(1, options.fullRateRemoteMembers);
     return std::clamp(static_cast<std::uint32_t>(ratio), 1U,
                       std::max(1U, options.maxRemoteIntervalFactor));
 }
--- a/src/core/membership/membership_updates.cpp
+++ b/src/core/membership/membership_updates.cpp
@@ -45,7 +45,7 @@
     for (const auto &vm : removed) {
         table.erase(vm);
         m_gossipQueue.remove(vm);
-        emit(member_forgotten{vm});
+        emit(member_removed{vm});
     }
 }
 
--- a/src/core/membership/recent_lists.cpp
+++ b/src/core/membership/recent_vm_lists.cpp
@@ -1,4 +1,4 @@
-#include <orchidlead/recent_lists.h>
+#include <orchidlead/recent_vm_lists.h>
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace {
 
 steady_time listMajorityUntil(const std::vector<vm_id> &vms,
-                              const recent_lists::vote_expiry &voteExpiry)
+                              const recent_vm_lists::vote_expiry &voteExpiry)
 {
     if (vms.empty())
         return steady_time::min();
@@ -24,18 +24,18 @@
 
 } // namespace
 
-recent_lists::recent_lists(milliseconds maxAge, milliseconds retention)
+recent_vm_lists::recent_vm_lists(milliseconds maxAge, milliseconds retention)
     : m_maxAge(maxAge)
     , m_retention(retention)
 { }
 
 // The history is complete only while each confirmation arrives before the previous one is too old.
 // After a gap, lists may have been published and replaced unseen, so a new history begins.
-void recent_lists::set(std::vector<vm_id> vms, steady_time confirmedAt, steady_time now)
+void recent_vm_lists::set(std::vector<vm_id> vms, steady_time confirmedAt, steady_time now)
 {
     std::sort(vms.begin(), vms.end());
     vms.erase(std::unique(vms.begin(), vms.end()), vms.end());
-    const bool gap = !m_initialized || confirmedAt > freshUntil();
+    const bool gap = !m_initialized || confirmedAt > validUntil();
     if (gap) {
         m_completeSince = confirmedAt;
         m_confirmedAt = confirmedAt;
@@ -53,7 +53,7 @@
     m_current = std::move(vms);
 }
 
-bool recent_lists::contains(const vm_id &vm) const
+bool recent_vm_lists::contains(const vm_id &vm) const
 {
     if (std::binary_search(m_current.begin(), m_current.end(), vm))
         return true;
@@ -62,7 +62,7 @@
     });
 }
 
-std::vector<vm_id> recent_lists::voters() const
+std::vector<vm_id> recent_vm_lists::voters() const
 {
     std::vector<vm_id> all = m_current;
     for (const auto &list : m_past)
@@ -72,12 +72,12 @@
     return all;
 }
 
-bool recent_lists::complete(steady_time now) const
+bool recent_vm_lists::complete(steady_time now) const
 {
     return m_initialized && now >= m_completeSince + m_retention;
 }
 
-steady_time recent_lists::majorityUntil(const vote_expiry &voteExpiry, bool includePast) const
+steady_time recent_vm_lists::majorityUntil(const vote_expiry &voteExpiry, bool includePast) const
 {
     steady_time until = listMajorityUntil(m_current, voteExpiry);
     if (!includePast)
@@ -87,7 +87,7 @@
     return until;
 }
 
-void recent_lists::tick(steady_time now)
+void recent_vm_lists::tick(steady_time now)
 {
     std::erase_if(m_past,
                   [&](const past_list &list) { return now >= list.replacedAt + m_retention; });
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -134,7 +134,7 @@
         out);
 }
 
-void node::setMembers(std::vector<member> members, steady_time listConfirmedAt)
+void node::setMembers(std::vector<member> members, steady_time vmListConfirmedAt)
 {
     m_members = std::move(members);
     std::vector<member> own;
@@ -142,7 +142,7 @@
         if (entry.vm.dataCenter == m_settings.dataCenter)
             own.push_back(entry);
     }
-    m_atMostOnce.setMembers(own, listConfirmedAt);
+    m_atMostOnce.setMembers(own, vmListConfirmedAt);
 }
 
 void node::setAdmission(admission_state state)
--- a/src/core/node/node.h
+++ b/src/core/node/node.h
@@ -62,7 +62,7 @@
     /// Sets the configuration for new requests.
     void setConfiguration(configuration_ptr configuration, node_actions &out);
     /// Sets the current members, and the time at which the platform last confirmed its list.
-    void setMembers(std::vector<member> members, steady_time listConfirmedAt);
+    void setMembers(std::vector<member> members, steady_time vmListConfirmedAt);
     void setAdmission(admission_state state);
 
     /// Starts a caller's request and returns its id. Exactly one `end_request` follows, now or
--- a/src/core/node/node_control.cpp
+++ b/src/core/node/node_control.cpp
@@ -20,7 +20,7 @@
 bool changesMembers(const membership_action &action)
 {
     return std::holds_alternative<member_changed>(action)
-        || std::holds_alternative<member_forgotten>(action);
+        || std::holds_alternative<member_removed>(action);
 }
 
 } // namespace
@@ -31,16 +31,16 @@
     , m_keeper(clock, options.keeper, std::move(validate))
 { }
 
-void node_control::setListed(std::uint64_t version, const std::vector<listed_vm> &vms,
+void node_control::setVmList(std::uint64_t version, const std::vector<listed_vm> &vms,
                              control_actions &out)
 {
-    feedMembers([&](auto &actions) { m_members.setListed(version, vms, actions); }, out);
+    feedMembers([&](auto &actions) { m_members.setVmList(version, vms, actions); }, out);
     reportMembers(out);
 }
 
 void node_control::onListConfirmed(std::uint64_t version, control_actions &out)
 {
-    m_members.confirmListed(version);
+    m_members.confirmVmList(version);
     reportMembers(out);
 }
 
@@ -92,12 +92,12 @@
 
 steady_time node_control::confirmedAt() const
 {
-    return m_members.listConfirmedAt().value_or(steady_time{});
+    return m_members.vmListConfirmedAt().value_or(steady_time{});
 }
 
-void node_control::noticePause(control_actions &out)
+void node_control::detectPause(control_actions &out)
 {
-    feedMembers([&](auto &actions) { m_members.noticePause(actions); }, out);
+    feedMembers([&](auto &actions) { m_members.detectPause(actions); }, out);
 }
 
 void node_control::announceLeaving(control_actions &out)
@@ -117,12 +117,12 @@
         reportMembers(out);
     for (const auto &action : actions) {
         std::visit(overloaded{
-                       [](const member_forgotten &) {},
+                       [](const member_removed &) {},
                        [&](const peer_report &report) {
                            feedKeeper(
                                [&](auto &next) {
                                    m_keeper.onPeerVersion(report.vm, report.configuration,
-                                                          report.askedAt, next);
+                                                          report.probeSentAt, next);
                                },
                                out);
                        },
--- a/src/core/node/node_control.h
+++ b/src/core/node/node_control.h
@@ -21,7 +21,7 @@
 struct members_updated
 {
     std::vector<member> members;
-    steady_time listConfirmedAt;
+    steady_time vmListConfirmedAt;
 };
 
 using control_action =
@@ -45,7 +45,7 @@
     node_control(const control_options &options, const clock_source &clock,
                  published_keeper::validator validate);
 
-    void setListed(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
+    void setVmList(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
     /// Records the platform's confirmation that its list still has this version.
     void onListConfirmed(std::uint64_t version, control_actions &out);
     void onDatagram(const socket_address &from, std::string_view bytes, control_actions &out);
@@ -61,7 +61,7 @@
     /// Runs due timers; call every 50 to 100 ms.
     void tick(control_actions &out);
     /// Detects a pause of the process; call before acting on state that may be from before it.
-    void noticePause(control_actions &out);
+    void detectPause(control_actions &out);
 
     void announceLeaving(control_actions &out);
     void announceStopped(control_actions &out);
--- a/src/core/once/at_most_once.h
+++ b/src/core/once/at_most_once.h
@@ -153,9 +153,9 @@
     void onPeerMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out);
 
     /// Sets the VMs of this node's data centre, with the state of each as seen by this node.
-    /// `listConfirmedAt` is the time when the platform last confirmed the list, either to this node
-    /// or to the peer that relayed it.
-    void setMembers(std::span<const member> members, steady_time listConfirmedAt);
+    /// `vmListConfirmedAt` is the time when the platform last confirmed the list, either to this
+    /// node or to the peer that relayed it.
+    void setMembers(std::span<const member> members, steady_time vmListConfirmedAt);
 
     /// Stops accepting idempotency keys and starts to hand over the shards, as part of a planned
     /// stop.
--- a/src/core/once/at_most_once_definitions.h
+++ b/src/core/once/at_most_once_definitions.h
@@ -323,9 +323,9 @@
 
 template <at_most_once_guards Guards>
 void basic_at_most_once<Guards>::setMembers(std::span<const member> members,
-                                            steady_time listConfirmedAt)
+                                            steady_time vmListConfirmedAt)
 {
-    m_home.setMembers(members, listConfirmedAt);
+    m_home.setMembers(members, vmListConfirmedAt);
 }
 
 template <at_most_once_guards Guards>
--- a/src/core/once/key_home_definitions.h
+++ b/src/core/once/key_home_definitions.h
@@ -73,7 +73,7 @@
 {
     if (Guards::EveryRecentListAgrees && !m_lists.complete(now))
         return false;
-    return !Guards::ListMustBeFresh || now < m_lists.freshUntil();
+    return !Guards::ListMustBeFresh || now < m_lists.validUntil();
 }
 
 // The lease ends when the votes expire or the list becomes too old, whichever comes first.
@@ -91,7 +91,7 @@
         until = m_lists.majorityUntil(voteOf, Guards::EveryRecentListAgrees);
     else
         until = voteOf(m_settings.vm);
-    return Guards::ListMustBeFresh ? std::min(until, m_lists.freshUntil()) : until;
+    return Guards::ListMustBeFresh ? std::min(until, m_lists.validUntil()) : until;
 }
 
 // A lease that lapsed, however briefly, starts again with new coverage: another node may have held
--- a/src/daemon/control_shell.cpp
+++ b/src/daemon/control_shell.cpp
@@ -39,7 +39,7 @@
     , m_vmList(loop, client, clock, {m_options.vmList}, m_options.vmListWatch,
                {[this](const wire::vm_list &list) {
                     m_listVersion = list.version;
-                    feed([&](auto &out) { m_control.setListed(list.version, list.vms, out); });
+                    feed([&](auto &out) { m_control.setVmList(list.version, list.vms, out); });
                 },
                 [this](steady_time) {
                     feed([&](auto &out) { m_control.onListConfirmed(m_listVersion, out); });
@@ -89,9 +89,9 @@
         m_socket->send(to, datagram);
 }
 
-void control_shell::noticePause()
+void control_shell::detectPause()
 {
-    feed([&](auto &out) { m_control.noticePause(out); });
+    feed([&](auto &out) { m_control.detectPause(out); });
 }
 
 void control_shell::announceLeaving()
--- a/src/daemon/control_shell.h
+++ b/src/daemon/control_shell.h
@@ -64,7 +64,7 @@
     [[nodiscard]] result<void, net::net_error> start();
 
     /// Notices a pause of the process; to be called before a request is taken.
-    void noticePause();
+    void detectPause();
     void announceLeaving();
     void announceStopped();
     /// Sends a datagram that isn't gossip from the gossip port.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -94,7 +94,7 @@
     hooks.onDecision = [this](const auto &decision) { m_reporter.onDecision(decision); };
     hooks.onEnded = [this](const auto &ended) { m_reporter.onEnded(ended); };
     hooks.onServerNews = [this](const server_news &news) { m_news.onTold(news); };
-    hooks.noticePause = [this] { m_control.noticePause(); };
+    hooks.detectPause = [this] { m_control.detectPause(); };
     hooks.forward = [this](const forward_call &call) { m_peers.forward(call); };
     return hooks;
 }
@@ -237,7 +237,7 @@
 // before.
 void orchidlead_daemon::refreshAdmission()
 {
-    m_control.noticePause();
+    m_control.detectPause();
     applyAdmission();
 }
 
--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -98,7 +98,7 @@
 void node_shell::setMembers(const members_updated &update)
 {
     m_loads.setNodes(update.members.size());
-    m_node.setMembers(update.members, update.listConfirmedAt);
+    m_node.setMembers(update.members, update.vmListConfirmedAt);
 }
 
 void node_shell::onForwardAnswer(const request_id &request, final_answer answer)
@@ -124,7 +124,7 @@
 
 void node_shell::perform(const send_attempt &action)
 {
-    m_hooks.noticePause();
+    m_hooks.detectPause();
     if (m_confirmed)
         m_backends.send(action, [this, key = action.key] { return mayDispatch(key); });
     else
@@ -133,7 +133,7 @@
 
 bool node_shell::mayDispatch(const attempt_key &key)
 {
-    m_hooks.noticePause();
+    m_hooks.detectPause();
     return m_confirmed && m_node.mayDispatch(key);
 }
 
--- a/src/daemon/node_shell.h
+++ b/src/daemon/node_shell.h
@@ -35,7 +35,7 @@
     std::function<void(const server_news &)> onServerNews;
     /// Asked before anything is sent to a backend server; notices a pause of the process, which
     /// may call `setConfirmed(false)`.
-    std::function<void()> noticePause;
+    std::function<void()> detectPause;
 };
 
 /// Settings of the node and of the calls to backend servers.
--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -203,7 +203,7 @@
         row["state"] = text(toName(entry.state));
         row["listed"] = entry.listed;
         row["incarnation"] = count(entry.incarnation);
-        const auto since = std::chrono::duration_cast<milliseconds>(now - entry.lastHeard);
+        const auto since = std::chrono::duration_cast<milliseconds>(now - entry.lastReceivedAt);
         row["last_heard_ms"] = entry.incarnation == 0 ? Json::Value{} : time(since);
         rows.emplace(entry.vm.vm.value, std::move(row));
     }
--- a/src/gateway/peers/peer_view.cpp
+++ b/src/gateway/peers/peer_view.cpp
@@ -65,7 +65,7 @@
     options.seed = identity.incarnation;
     options.probeInterval = ProbeInterval;
     options.remoteProbeInterval = ProbeInterval;
-    options.remoteProbesInFull = FullRateRemoteMembers;
+    options.fullRateRemoteMembers = FullRateRemoteMembers;
     options.probeTimeout = ProbeTimeout;
     options.suspicionMin = SuspicionMin;
     options.suspicionMax = SuspicionMax;
--- a/tests/core/control_fake_network.h
+++ b/tests/core/control_fake_network.h
@@ -294,7 +294,7 @@
                 vms.push_back(m_nodes[i].vm);
         }
         membership_actions out;
-        at(index).members->setListed(m_listVersion, vms, out);
+        at(index).members->setVmList(m_listVersion, vms, out);
         carryOut(index, out);
     }
 
@@ -316,7 +316,7 @@
         bool changed = false;
         for (const auto &action : actions) {
             changed = changed || std::holds_alternative<member_changed>(action)
-                || std::holds_alternative<member_forgotten>(action);
+                || std::holds_alternative<member_removed>(action);
         }
         if (changed)
             at(index).keeper->setMembers(at(index).members->members());
@@ -348,7 +348,7 @@
         if (change.now.state == member_state::Dead && change.before != member_state::Dead)
             at(index).deathsSeen++;
     }
-    void handle(std::size_t, const member_forgotten &) { }
+    void handle(std::size_t, const member_removed &) { }
     void handle(std::size_t index, const superseded &) { at(index).supersededSeen = true; }
 
     void handle(std::size_t index, const paused &)
@@ -362,7 +362,7 @@
     void handle(std::size_t index, const peer_report &report)
     {
         typename keeper_type::actions out;
-        at(index).keeper->onPeerVersion(report.vm, report.configuration, report.askedAt, out);
+        at(index).keeper->onPeerVersion(report.vm, report.configuration, report.probeSentAt, out);
         carryOut(index, out);
     }
 
@@ -474,7 +474,7 @@
             return;
         }
         membership_actions noticed;
-        at(index).members->noticePause(noticed);
+        at(index).members->detectPause(noticed);
         carryOut(index, noticed);
         typename keeper_type::actions out;
         input(*at(index).keeper, out);
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -265,7 +265,7 @@
     std::vector<listed_vm> seeds;
     for (std::size_t i = 0; i < 3; ++i)
         seeds.push_back(net.at(i).vm);
-    net.at(added).members->setListed(1, seeds, out);
+    net.at(added).members->setVmList(1, seeds, out);
     net.runUntil([&] { return net.agreed(); }, 30s);
     REQUIRE(net.agreed());
     const auto seen = net.at(0).members->find(vm_id{"vm-new"});
@@ -281,14 +281,14 @@
     net.run(30s);
     membership_actions out;
     const auto confirmationTime = net.clock.now();
-    net.at(1).members->confirmListed(1);
+    net.at(1).members->confirmVmList(1);
     net.run(10s);
     for (std::size_t i = 0; i < net.size(); ++i) {
-        const auto confirmed = net.at(i).members->listConfirmedAt();
+        const auto confirmed = net.at(i).members->vmListConfirmedAt();
         REQUIRE(confirmed.has_value());
         CHECK(*confirmed <= confirmationTime);
     }
-    CHECK(*net.at(5).members->listConfirmedAt() > confirmationTime - 1s);
+    CHECK(*net.at(5).members->vmListConfirmedAt() > confirmationTime - 1s);
 }
 
 TEST_CASE("membership traffic of an idle node among 56 stays below 2.5 KB per second")
