--- a/include/orchidlead/configuration_keeper.h
+++ b/include/orchidlead/configuration_keeper.h
@@ -56,7 +56,8 @@
     listed_vm self;
     std::uint64_t seed = 0;
     std::size_t readersPerDataCenter = 3;
-    std::size_t confirmPeers = 3; ///< maximum number of answers required before serving
+    /// Number of peers that are probed at once, and maximum of answers required before serving.
+    std::size_t confirmPeers = 3;
     /// Time after which an unconfirmed node may serve without enough answers.
     milliseconds confirmTimeout{2000};
     milliseconds probeInterval{250}; ///< between probes while unconfirmed
@@ -66,7 +67,8 @@
     milliseconds maxBackoff{2000}; ///< after failed service calls
     milliseconds peerFetchTimeout{1000};
     std::size_t fetchFanout = 2; ///< children of a node in the tree
-    milliseconds fetchDelayPerLevel{250}; ///< per level of the tree
+    /// Delay of a fetch for each level of the tree above the parent.
+    milliseconds fetchDelayPerLevel{250};
     std::size_t maxContentBytes = 1U << 20U;
     std::size_t maxRejected = 16; ///< rejected stamps that are kept
     std::size_t maxHolders = 8; ///< peers kept as sources of an announced version
@@ -81,7 +83,7 @@
     enum_name<configuration_source>{configuration_source::Peer, "peer"},
 };
 
-/// Events of a keeper that operators see in the log and the metrics.
+/// Events that a keeper reports to operators.
 enum class keeper_event {
     StaleService, ///< the service offered a lower version; ignored
     VersionConflict, ///< one version with two contents; the greater hash wins
