--- a/examples/ticket_example.cpp
+++ b/examples/ticket_example.cpp
@@ -52,9 +52,9 @@
         const auto parsed = parseTicket(ticketText);
         if (!parsed)
             return "refused: " + std::string(toName(parsed.error()));
-        const ticket_standing standing = m_ledger.standing(parsed.value());
-        if (standing != ticket_standing::Valid)
-            return "refused: " + std::string(toName(standing));
+        const ticket_status status = m_ledger.status(parsed.value());
+        if (status != ticket_status::Valid)
+            return "refused: " + std::string(toName(status));
         // The record is added before the charge, so that a resend does not repeat a charge that was
         // interrupted.
         const auto [record, isNew] = m_records.try_emplace(
@@ -74,7 +74,7 @@
     {
         m_ledger.tick();
         std::erase_if(m_records, [this](const auto &entry) {
-            return m_ledger.standing(entry.second.used) != ticket_standing::Valid;
+            return m_ledger.status(entry.second.used) != ticket_status::Valid;
         });
     }
 
--- a/include/orchidlead/at_most_once_guards.h
+++ b/include/orchidlead/at_most_once_guards.h
@@ -17,11 +17,11 @@
     guard_constants<decltype(Guards::LeaseIsChecked), decltype(Guards::IssuedAfterLeaseBegan),
                     decltype(Guards::CoverageAfterPromises), decltype(Guards::FutureKeysAreRefused),
                     decltype(Guards::OldKeysAreRefused), decltype(Guards::MajorityOfVoters),
-                    decltype(Guards::FreshVoterWaits), decltype(Guards::LeaseCountsFromRequest),
-                    decltype(Guards::EveryRecentListAgrees), decltype(Guards::ListMustBeFresh),
+                    decltype(Guards::RestartedVoterWaits), decltype(Guards::LeaseCountsFromRequest),
+                    decltype(Guards::EveryRecentListAgrees), decltype(Guards::ListMustBeConfirmed),
                     decltype(Guards::LateReleaseIsIgnored), decltype(Guards::HandoverWithinLease),
                     decltype(Guards::UncertainMeansUnknown), decltype(Guards::RefusalIsFinal),
-                    decltype(Guards::TicketNamesIncarnation), decltype(Guards::TicketRunsOnce)>;
+                    decltype(Guards::TicketIncarnationIsChecked), decltype(Guards::TicketRunsOnce)>;
 
 /// All guards enabled, as in the daemon.
 struct every_guard
@@ -40,13 +40,13 @@
     /// A lease needs the votes of more than half of the listed VMs.
     static constexpr bool MajorityOfVoters = true;
     /// A voter grants nothing after its start until its predecessor's promises have expired.
-    static constexpr bool FreshVoterWaits = true;
+    static constexpr bool RestartedVoterWaits = true;
     /// The holder's lease starts when the holder sent the request, not when the vote arrived.
     static constexpr bool LeaseCountsFromRequest = true;
     /// A lease needs a majority of each recent VM list, not only of the current one.
     static constexpr bool EveryRecentListAgrees = true;
     /// A node whose VM list has not been confirmed for `maxListAge` holds no lease.
-    static constexpr bool ListMustBeFresh = true;
+    static constexpr bool ListMustBeConfirmed = true;
     /// A release does not end a vote of a later round, which may have arrived before it.
     static constexpr bool LateReleaseIsIgnored = true;
     /// The successor of a handover inherits the coverage only if the leases overlap.
@@ -56,7 +56,7 @@
     /// A call that was answered `not_run` does not run when its key or ticket is sent again.
     static constexpr bool RefusalIsFinal = true;
     /// A ticket of another incarnation of the VM is refused.
-    static constexpr bool TicketNamesIncarnation = true;
+    static constexpr bool TicketIncarnationIsChecked = true;
     /// A used ticket is not run again.
     static constexpr bool TicketRunsOnce = true;
 };
--- a/include/orchidlead/key_home.h
+++ b/include/orchidlead/key_home.h
@@ -20,7 +20,7 @@
 namespace orchidlead {
 
 /// Whether a node may accept a key of which it has no record.
-enum class home_standing {
+enum class key_admission {
     /// No other node has accepted the key, and none can accept it later.
     Certain,
     NoLease, ///< this node is not the home
@@ -29,11 +29,11 @@
 };
 
 template <>
-inline constexpr std::array enumNames<home_standing>{
-    enum_name<home_standing>{home_standing::Certain, "certain"},
-    enum_name<home_standing>{home_standing::NoLease, "no_lease"},
-    enum_name<home_standing>{home_standing::IssuedBeforeLease, "issued_before_lease"},
-    enum_name<home_standing>{home_standing::IssuedInFuture, "issued_in_future"},
+inline constexpr std::array enumNames<key_admission>{
+    enum_name<key_admission>{key_admission::Certain, "certain"},
+    enum_name<key_admission>{key_admission::NoLease, "no_lease"},
+    enum_name<key_admission>{key_admission::IssuedBeforeLease, "issued_before_lease"},
+    enum_name<key_admission>{key_admission::IssuedInFuture, "issued_in_future"},
 };
 
 struct key_home_settings
@@ -49,14 +49,14 @@
 };
 
 /// Coverage of a shard by a lease: no earlier home has accepted a key issued after `since`.
-struct lease_cover
+struct lease_coverage
 {
     wall_time since;
     wall_time until; ///< end of the lease
 };
 
 /// The node that takes over a shard, and the first round of which it counts votes.
-struct successor_holder
+struct shard_successor
 {
     lease_holder holder;
     std::uint64_t round = 0;
@@ -94,10 +94,10 @@
     void onRelease(const vm_id &from, const lease_release &message);
 
     /// Whether a key of `shard` with this time of issue may be accepted now.
-    [[nodiscard]] home_standing standing(std::size_t shard, wall_time issued) const;
+    [[nodiscard]] key_admission admission(std::size_t shard, wall_time issued) const;
 
     /// Returns the probable home of a shard; empty if no node is alive.
-    [[nodiscard]] vm_id likelyHome(std::size_t shard) const;
+    [[nodiscard]] vm_id probableHome(std::size_t shard) const;
 
     [[nodiscard]] bool holdsLease(std::size_t shard) const;
 
@@ -108,21 +108,21 @@
     [[nodiscard]] shard_bits certain() const;
 
     /// Stops requesting leases on further shards.
-    void startLeaving() { m_leaving = true; }
+    void startKeyHandover() { m_leaving = true; }
 
     /// Returns the live VMs that could take over a shard, in order of preference.
     [[nodiscard]] std::vector<vm_id> successors(std::size_t shard) const;
 
     /// Returns the coverage for a handover, or nothing if the lease is not valid.
-    [[nodiscard]] std::optional<lease_cover> cover(std::size_t shard) const;
+    [[nodiscard]] std::optional<lease_coverage> coverage(std::size_t shard) const;
 
     /// Ends this node's lease. If there is a successor, transfers the votes to it.
-    void giveUp(std::size_t shard, const std::optional<successor_holder> &successor,
-                std::vector<key_home_outgoing> &out);
+    void endLease(std::size_t shard, const std::optional<shard_successor> &successor,
+                  std::vector<key_home_outgoing> &out);
 
     /// Inherits the coverage of the previous home if this node gets the lease before the previous
     /// one ends.
-    void inherit(std::size_t shard, const lease_cover &cover);
+    void inheritCoverage(std::size_t shard, const lease_coverage &coverage);
 
     /// Whether this node could hold a lease: it is listed, is not leaving, and its VM lists are
     /// complete and recent.
@@ -136,10 +136,10 @@
     {
         steady_time leaseUntil = steady_time::min();
         wall_time since; // start of the coverage; valid while the lease is
-        std::optional<lease_cover> inherited;
+        std::optional<lease_coverage> inherited;
         std::uint64_t firstCountedRound = 0; // votes of earlier rounds are ignored
         // Since when this node's voter has had no promise to another holder.
-        std::optional<steady_time> freeSince;
+        std::optional<steady_time> noOtherPromiseSince;
         bool requested = false;
         steady_time backoffUntil = steady_time::min(); // after a failed candidacy
         std::uint32_t failedCandidacies = 0;
@@ -147,7 +147,7 @@
     struct counted_vote
     {
         steady_time until = steady_time::min();
-        steady_time freeSince; // since when the voter had no promise to another holder
+        steady_time noOtherPromiseSince; // since when the voter had no promise to another holder
     };
     using voter_votes = std::array<counted_vote, ShardCount>;
 
@@ -162,7 +162,7 @@
     void updateLease(std::size_t shard);
     [[nodiscard]] wall_time coverageStart(std::size_t shard, steady_time now) const;
     void recordVotes(const vm_id &voter, std::uint64_t round, shard_bits granted,
-                     steady_time freeSince);
+                     steady_time noOtherPromiseSince);
     void startRound(shard_bits shards, std::vector<key_home_outgoing> &out);
     void withdrawFailedCandidacies(std::vector<key_home_outgoing> &out);
     void sendRelease(const lease_release &message, std::vector<key_home_outgoing> &out);
--- a/include/orchidlead/key_home_messages.h
+++ b/include/orchidlead/key_home_messages.h
@@ -45,7 +45,7 @@
     std::uint64_t round = 0;
     shard_bits granted = 0;
     /// For how long no other holder has had a promise for any of the granted shards.
-    std::uint32_t freeMilliseconds = 0;
+    std::uint32_t noOtherPromiseMilliseconds = 0;
 };
 
 /// Releases votes before they expire, or transfers them to a successor.
@@ -62,11 +62,11 @@
 };
 
 /// A record of a call, sent to the next home of its shard.
-struct handed_record
+struct handover_record
 {
     std::string id;
     std::uint64_t digest = 0;
-    std::int64_t keepMilliseconds = 0; ///< remaining retention time
+    std::int64_t remainingRetentionMilliseconds = 0; ///< remaining retention time
     /// False if the call was accepted by the previous home and its outcome is open.
     bool finished = false;
     std::string answer; ///< encoded; empty unless finished
@@ -81,7 +81,7 @@
     std::uint32_t parts = 1;
     std::int64_t coveredSince = 0; ///< unix milliseconds
     std::int64_t leaseEnd = 0; ///< unix milliseconds
-    std::vector<handed_record> records;
+    std::vector<handover_record> records;
 };
 
 /// Acknowledges one part, or rejects the handover.
--- a/include/orchidlead/lease_voter.h
+++ b/include/orchidlead/lease_voter.h
@@ -43,14 +43,14 @@
     {
         shard_bits shards = 0;
         /// Since when no other holder had a promise for any of these shards.
-        steady_time freeSince;
+        steady_time noOtherPromiseSince;
     };
 
     /// Votes for `holder` on each shard that is not promised to another holder.
     granted_shards grant(const lease_holder &holder, std::uint64_t round, shard_bits shards)
     {
         const auto now = m_clock.now();
-        if (Guards::FreshVoterWaits && now < m_noGrantsBefore)
+        if (Guards::RestartedVoterWaits && now < m_noGrantsBefore)
             return {0, now};
         granted_shards granted{0, m_noGrantsBefore}; // promises before the start were lost
         for (std::size_t shard = 0; shard < ShardCount; ++shard) {
@@ -58,7 +58,8 @@
             if ((shards & shardBit(shard)) == 0 || !grantOne(given, holder, round, now))
                 continue;
             granted.shards |= shardBit(shard);
-            granted.freeSince = std::max(granted.freeSince, given.otherHolderUntil);
+            granted.noOtherPromiseSince =
+                std::max(granted.noOtherPromiseSince, given.otherHolderUntil);
         }
         return granted;
     }
--- a/include/orchidlead/ticket_ledger.h
+++ b/include/orchidlead/ticket_ledger.h
@@ -14,7 +14,7 @@
 namespace orchidlead {
 
 /// Whether a ticket may run in this process, and if not, why.
-enum class ticket_standing {
+enum class ticket_status {
     Valid, ///< minted by this process and not expired
     OtherVm,
     /// Minted by an earlier or later process on this VM.
@@ -25,12 +25,12 @@
 };
 
 template <>
-inline constexpr std::array enumNames<ticket_standing>{
-    enum_name<ticket_standing>{ticket_standing::Valid, "valid"},
-    enum_name<ticket_standing>{ticket_standing::OtherVm, "other_vm"},
-    enum_name<ticket_standing>{ticket_standing::OtherIncarnation, "other_incarnation"},
-    enum_name<ticket_standing>{ticket_standing::NeverMinted, "never_minted"},
-    enum_name<ticket_standing>{ticket_standing::Expired, "expired"},
+inline constexpr std::array enumNames<ticket_status>{
+    enum_name<ticket_status>{ticket_status::Valid, "valid"},
+    enum_name<ticket_status>{ticket_status::OtherVm, "other_vm"},
+    enum_name<ticket_status>{ticket_status::OtherIncarnation, "other_incarnation"},
+    enum_name<ticket_status>{ticket_status::NeverMinted, "never_minted"},
+    enum_name<ticket_status>{ticket_status::Expired, "expired"},
 };
 
 /// Mints the tickets of one process and determines which of them may still run.
@@ -47,7 +47,7 @@
     /// Mints the next ticket. Returns nothing while `capacity` are valid.
     [[nodiscard]] std::optional<ticket> mint();
 
-    [[nodiscard]] ticket_standing standing(const ticket &value) const;
+    [[nodiscard]] ticket_status status(const ticket &value) const;
 
     /// Raises the floor above the expired tickets.
     void tick();
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -195,9 +195,10 @@
     return std::nullopt;
 }
 
-once_request node::makeOnceRequest(const caller_request &request, steady_time deadline) const
+non_repeatable_request node::makeOnceRequest(const caller_request &request,
+                                             steady_time deadline) const
 {
-    once_request once;
+    non_repeatable_request once;
     once.customer = request.customer;
     const auto *published =
         m_configuration ? m_configuration->findCustomer(request.customer) : nullptr;
@@ -221,14 +222,14 @@
         plan ? allowedTime(*plan.value(), request) : request.deadline.value_or(NoPlanDeadline);
     const steady_time deadline = m_clock.now() + time;
     m_lastDeadline = std::max(m_lastDeadline, deadline);
-    const once_verdict verdict = m_atMostOnce.onRequest(makeOnceRequest(request, deadline));
+    const at_most_once_verdict verdict = m_atMostOnce.onRequest(makeOnceRequest(request, deadline));
     std::visit(
         overloaded{
-            [&](const run_here &run) {
+            [&](const run_locally &run) {
                 runOrRefuse(id, std::move(request), plan, run.record, out);
             },
-            [&](const attach_to &running) { attach(id, running.record, deadline, out); },
-            [&](const give_answer &ended) { deliver(id, ended.answer, out); },
+            [&](const attach_to_call &running) { attach(id, running.record, deadline, out); },
+            [&](const return_stored_answer &ended) { deliver(id, ended.answer, out); },
             [&](const forward_to &elsewhere) { forward(id, request, elsewhere, deadline, out); },
             [&](const refuse_call &refused) {
                 deliver(
@@ -441,12 +442,13 @@
     return std::min(*engine, *attached);
 }
 
-void node::tickGate(std::vector<peer_message> &out)
+void node::tickAtMostOnce(std::vector<peer_message> &out)
 {
     m_atMostOnce.tick(out);
 }
 
-void node::onGateMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out)
+void node::onAtMostOnceMessage(const vm_id &from, std::string_view bytes,
+                               std::vector<peer_message> &out)
 {
     m_atMostOnce.onPeerMessage(from, bytes, out);
 }
--- a/src/core/node/node.h
+++ b/src/core/node/node.h
@@ -94,12 +94,13 @@
     void tick(node_actions &out);
     [[nodiscard]] std::optional<steady_time> nextWake() const;
 
-    /// Messages of the at-most-once gate to its peers. Call `tickGate` about every 250 ms.
-    void tickGate(std::vector<peer_message> &out);
-    void onGateMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out);
+    /// Messages of the at-most-once gate to its peers. Call `tickAtMostOnce` about every 250 ms.
+    void tickAtMostOnce(std::vector<peer_message> &out);
+    void onAtMostOnceMessage(const vm_id &from, std::string_view bytes,
+                             std::vector<peer_message> &out);
     /// Starts to hand the keys over, as part of a planned stop.
-    void startLeaving() { m_atMostOnce.startLeaving(); }
-    [[nodiscard]] bool handedOver() const { return m_atMostOnce.handedOver(); }
+    void startKeyHandover() { m_atMostOnce.startKeyHandover(); }
+    [[nodiscard]] bool keysHandedOver() const { return m_atMostOnce.keysHandedOver(); }
     [[nodiscard]] const at_most_once &gate() const { return m_atMostOnce; }
 
     /// Whether no caller waits and nothing runs.
@@ -147,8 +148,8 @@
     [[nodiscard]] request_id nextId();
     [[nodiscard]] plan_or_refusal renderPlan(const caller_request &request) const;
     [[nodiscard]] std::optional<refusal> checkAdmission(const caller_request &request) const;
-    [[nodiscard]] once_request makeOnceRequest(const caller_request &request,
-                                               steady_time deadline) const;
+    [[nodiscard]] non_repeatable_request makeOnceRequest(const caller_request &request,
+                                                         steady_time deadline) const;
     void submitOnce(const request_id &id, caller_request request, const plan_or_refusal &plan,
                     node_actions &out);
     void runOrRefuse(const request_id &id, caller_request request, const plan_or_refusal &plan,
--- a/src/core/node/planned_stop.cpp
+++ b/src/core/node/planned_stop.cpp
@@ -49,7 +49,7 @@
         return elapsed >= m_options.notice;
     case stop_phase::Draining:
         if (progress.idle)
-            return progress.handedOver || elapsed >= m_options.drain;
+            return progress.keysHandedOver || elapsed >= m_options.drain;
         return elapsed >= m_options.drain && m_clock.now() >= progress.lastDeadline + DeadlineGrace;
     case stop_phase::Closing:
         return progress.connectionsClosed || elapsed >= m_options.close;
--- a/src/core/node/planned_stop.h
+++ b/src/core/node/planned_stop.h
@@ -42,7 +42,7 @@
 struct stop_progress
 {
     bool idle = false; ///< no request is open
-    bool handedOver = false; ///< no key is left to hand over
+    bool keysHandedOver = false; ///< no key is left to hand over
     bool connectionsClosed = false;
     steady_time lastDeadline; ///< no open request has a later one
 };
--- a/src/core/once/at_most_once.h
+++ b/src/core/once/at_most_once.h
@@ -29,7 +29,7 @@
 namespace orchidlead {
 
 /// A non-repeatable call, as received.
-struct once_request
+struct non_repeatable_request
 {
     customer_id customer;
     /// Home data centre of the customer, as published; empty if unknown on this node.
@@ -42,19 +42,19 @@
 };
 
 /// Verdict: this node runs the call. `onFinished` must follow exactly once.
-struct run_here
+struct run_locally
 {
     record_handle record;
 };
 
 /// Verdict: the call is already in flight on this node. The caller gets the answer of that call.
-struct attach_to
+struct attach_to_call
 {
     record_handle record;
 };
 
 /// Verdict: the call has already ended. The caller gets the stored answer.
-struct give_answer
+struct return_stored_answer
 {
     final_answer answer;
 };
@@ -85,7 +85,8 @@
     std::optional<milliseconds> retryAfter;
 };
 
-using once_verdict = std::variant<run_here, attach_to, give_answer, forward_to, refuse_call>;
+using at_most_once_verdict =
+    std::variant<run_locally, attach_to_call, return_stored_answer, forward_to, refuse_call>;
 
 /// Action: send these bytes to the gate of a peer. The protocol tolerates loss, duplication and
 /// reordering of messages.
@@ -134,7 +135,7 @@
     /// Mints a ticket for the caller. Returns nothing while `maxTickets` are valid.
     [[nodiscard]] std::optional<std::string> mintTicket();
 
-    [[nodiscard]] once_verdict onRequest(const once_request &request);
+    [[nodiscard]] at_most_once_verdict onRequest(const non_repeatable_request &request);
 
     /// Whether the call may be sent now. Must be checked immediately before each send.
     [[nodiscard]] bool mayDispatch(record_handle record) const;
@@ -159,10 +160,10 @@
 
     /// Stops accepting idempotency keys and starts to hand over the shards, as part of a planned
     /// stop.
-    void startLeaving();
+    void startKeyHandover();
 
     /// Whether this node is leaving and all handovers have ended.
-    [[nodiscard]] bool handedOver() const;
+    [[nodiscard]] bool keysHandedOver() const;
 
     /// Returns the shards on which this node has a valid lease; shown to operators.
     [[nodiscard]] shard_bits heldShards() const { return m_home.held(); }
@@ -183,21 +184,22 @@
         std::vector<bool> parts;
     };
 
-    [[nodiscard]] once_verdict onTicket(const once_request &request);
-    [[nodiscard]] once_verdict onKey(const once_request &request);
-    [[nodiscard]] once_verdict onNewTicket(const once_request &request, const ticket &value);
-    [[nodiscard]] once_verdict onNewKey(const once_request &request, const idempotency_key &key,
-                                        const std::string &id);
-    [[nodiscard]] once_verdict onUncertain(const once_request &request, std::size_t shard,
-                                           home_standing standing) const;
-    [[nodiscard]] once_verdict accept(const once_request &request, const std::string &id,
-                                      steady_time keepUntil);
-    [[nodiscard]] static once_verdict verdictOnRecord(const call_record &record,
-                                                      const once_request &request);
+    [[nodiscard]] at_most_once_verdict onTicket(const non_repeatable_request &request);
+    [[nodiscard]] at_most_once_verdict onKey(const non_repeatable_request &request);
+    [[nodiscard]] at_most_once_verdict onNewTicket(const non_repeatable_request &request,
+                                                   const ticket &value);
+    [[nodiscard]] at_most_once_verdict onNewKey(const non_repeatable_request &request,
+                                                const idempotency_key &key, const std::string &id);
+    [[nodiscard]] at_most_once_verdict onUncertain(const non_repeatable_request &request,
+                                                   std::size_t shard, key_admission standing) const;
+    [[nodiscard]] at_most_once_verdict accept(const non_repeatable_request &request,
+                                              const std::string &id, steady_time keepUntil);
+    [[nodiscard]] static at_most_once_verdict
+    verdictOnRecord(const call_record &record, const non_repeatable_request &request);
     void beginHandover(std::size_t shard);
     [[nodiscard]] std::vector<shard_handover> handoverParts(std::size_t shard,
-                                                            const lease_cover &cover) const;
-    [[nodiscard]] handed_record toHandedRecord(const call_record &record) const;
+                                                            const lease_coverage &coverage) const;
+    [[nodiscard]] handover_record toHandedRecord(const call_record &record) const;
     void updateSuccessor(const call_record &record);
     void endHandover(const handover_sender::ended_handover &handover,
                      std::vector<key_home_outgoing> &out);
--- a/src/core/once/at_most_once_definitions.h
+++ b/src/core/once/at_most_once_definitions.h
@@ -35,7 +35,7 @@
     return id.starts_with('k');
 }
 
-inline std::uint64_t scopedDigest(const once_request &request)
+inline std::uint64_t scopedDigest(const non_repeatable_request &request)
 {
     return request.digest ^ rendezvousWeight("digest", request.customer.value);
 }
@@ -75,7 +75,7 @@
 }
 
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::onRequest(const once_request &request)
+at_most_once_verdict basic_at_most_once<Guards>::onRequest(const non_repeatable_request &request)
 {
     if (request.ticket)
         return onTicket(request);
@@ -85,7 +85,7 @@
 }
 
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::onTicket(const once_request &request)
+at_most_once_verdict basic_at_most_once<Guards>::onTicket(const non_repeatable_request &request)
 {
     const auto parsed = parseTicket(*request.ticket);
     if (!parsed) {
@@ -102,34 +102,34 @@
 // A ticket that is not valid on this node may have run, or may still run on the node where it is
 // valid. Its outcome is therefore `Unknown`.
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::onNewTicket(const once_request &request,
-                                                     const ticket &value)
+at_most_once_verdict basic_at_most_once<Guards>::onNewTicket(const non_repeatable_request &request,
+                                                             const ticket &value)
 {
     using at_most_once_detail::refusal;
-    switch (m_ledger.standing(value)) {
-    case ticket_standing::Valid:
+    switch (m_ledger.status(value)) {
+    case ticket_status::Valid:
         return accept(request, toText(value), m_ledger.expiry(value));
-    case ticket_standing::OtherVm:
+    case ticket_status::OtherVm:
         if (!request.forwarded)
             return forward_to{value.vm, {}, forward_kind::Ticket};
         return refusal(outcome::Unknown, refusal_reason::HomeUnreachable,
                        "the ticket belongs to another VM");
-    case ticket_standing::OtherIncarnation:
-        if (!Guards::TicketNamesIncarnation)
+    case ticket_status::OtherIncarnation:
+        if (!Guards::TicketIncarnationIsChecked)
             return accept(request, toText(value), m_clock.now() + m_settings.window);
         return refusal(outcome::Unknown, refusal_reason::HomeUnreachable,
                        "the process that minted the ticket is gone");
-    case ticket_standing::NeverMinted:
+    case ticket_status::NeverMinted:
         return refusal(outcome::Unknown, refusal_reason::InvalidRequest,
                        "the ticket was never minted");
-    case ticket_standing::Expired:
+    case ticket_status::Expired:
         return refusal(outcome::Unknown, refusal_reason::KeyExpired, "the ticket has expired");
     }
     return refusal(outcome::Unknown, refusal_reason::Internal, {});
 }
 
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::onKey(const once_request &request)
+at_most_once_verdict basic_at_most_once<Guards>::onKey(const non_repeatable_request &request)
 {
     using at_most_once_detail::refusal;
     const auto key = parseIdempotencyKey(*request.key);
@@ -146,8 +146,9 @@
 }
 
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::onNewKey(const once_request &request,
-                                                  const idempotency_key &key, const std::string &id)
+at_most_once_verdict basic_at_most_once<Guards>::onNewKey(const non_repeatable_request &request,
+                                                          const idempotency_key &key,
+                                                          const std::string &id)
 {
     using at_most_once_detail::refusal;
     const auto wall = m_clock.wallNow();
@@ -161,10 +162,10 @@
     if (elsewhere && !request.forwarded)
         return forward_to{{}, request.homeDataCenter, forward_kind::Key};
     const std::size_t shard = shardOf(id);
-    auto standing = m_home.standing(shard, key.issued);
+    auto standing = m_home.admission(shard, key.issued);
     if (elsewhere || (m_frozenShards & shardBit(shard)) != 0)
-        standing = home_standing::NoLease;
-    if (standing != home_standing::Certain)
+        standing = key_admission::NoLease;
+    if (standing != key_admission::Certain)
         return onUncertain(request, shard, standing);
     const auto left = key.issued + m_settings.window - wall + 2 * m_settings.clockSkew;
     return accept(request, id,
@@ -174,22 +175,23 @@
 // The request may be a resend of a call that another node has run or is about to run. This node
 // cannot prove `NotRun`.
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::onUncertain(const once_request &request, std::size_t shard,
-                                                     home_standing standing) const
+at_most_once_verdict basic_at_most_once<Guards>::onUncertain(const non_repeatable_request &request,
+                                                             std::size_t shard,
+                                                             key_admission standing) const
 {
     using at_most_once_detail::refusal;
     const outcome ended = Guards::UncertainMeansUnknown ? outcome::Unknown : outcome::NotRun;
-    if (standing == home_standing::IssuedInFuture) {
+    if (standing == key_admission::IssuedInFuture) {
         return refusal(ended, refusal_reason::InvalidRequest,
                        "the key's time of issue is in the future");
     }
-    if (standing == home_standing::IssuedBeforeLease) {
+    if (standing == key_admission::IssuedBeforeLease) {
         return refusal(ended, refusal_reason::HomeUncertain,
                        "an earlier home of the key may have run it; it won't be run any more");
     }
     const auto successor = m_successors.find(shard);
     const auto home =
-        successor == m_successors.end() ? m_home.likelyHome(shard) : successor->second;
+        successor == m_successors.end() ? m_home.probableHome(shard) : successor->second;
     if (!request.forwarded && !home.empty() && home != m_settings.vm)
         return forward_to{home, m_settings.dataCenter, forward_kind::Key};
     return refusal(ended, refusal_reason::HomeUncertain, "no node is sure to be the key's home",
@@ -199,8 +201,9 @@
 // If there is no room for a record, the refusal cannot be recorded, and a delayed copy of the
 // request could run later. The outcome is therefore `Unknown` for a call with a ticket or key.
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::accept(const once_request &request, const std::string &id,
-                                                steady_time keepUntil)
+at_most_once_verdict basic_at_most_once<Guards>::accept(const non_repeatable_request &request,
+                                                        const std::string &id,
+                                                        steady_time keepUntil)
 {
     call_record record;
     record.id = id;
@@ -208,15 +211,16 @@
     record.deadline = request.deadline;
     record.keepUntil = keepUntil;
     if (const call_record *added = m_records.add(std::move(record)))
-        return run_here{added->handle};
+        return run_locally{added->handle};
     const outcome ended = id.empty() ? outcome::NotRun : outcome::Unknown;
     return at_most_once_detail::refusal(ended, refusal_reason::Overloaded,
                                         "too many calls are remembered", m_settings.renewal);
 }
 
 template <at_most_once_guards Guards>
-once_verdict basic_at_most_once<Guards>::verdictOnRecord(const call_record &record,
-                                                         const once_request &request)
+at_most_once_verdict
+basic_at_most_once<Guards>::verdictOnRecord(const call_record &record,
+                                            const non_repeatable_request &request)
 {
     using at_most_once_detail::refusal;
     if (record.digest != at_most_once_detail::scopedDigest(request)) {
@@ -226,7 +230,7 @@
     switch (record.state) {
     case call_state::Accepted:
     case call_state::Dispatched:
-        return attach_to{record.handle};
+        return attach_to_call{record.handle};
     case call_state::HandedOver:
         return refusal(outcome::Unknown, refusal_reason::KeyInUse,
                        "in flight at the key's previous home", milliseconds{1'000});
@@ -234,7 +238,7 @@
         break;
     }
     if (record.answerable())
-        return give_answer{record.answer};
+        return return_stored_answer{record.answer};
     return refusal(outcome::Failed, refusal_reason::KeyInUse,
                    "the call was answered, and the answer is no longer kept");
 }
@@ -329,12 +333,12 @@
 }
 
 template <at_most_once_guards Guards>
-void basic_at_most_once<Guards>::startLeaving()
+void basic_at_most_once<Guards>::startKeyHandover()
 {
     if (m_leaving)
         return;
     m_leaving = true;
-    m_home.startLeaving();
+    m_home.startKeyHandover();
     for (std::size_t shard = 0; shard < ShardCount; ++shard)
         beginHandover(shard);
 }
@@ -345,10 +349,10 @@
 void basic_at_most_once<Guards>::beginHandover(std::size_t shard)
 {
     m_frozenShards |= shardBit(shard);
-    const auto cover = m_home.cover(shard);
-    if (!cover)
+    const auto coverage = m_home.coverage(shard);
+    if (!coverage)
         return;
-    auto parts = handoverParts(shard, *cover);
+    auto parts = handoverParts(shard, *coverage);
     auto successors = m_home.successors(shard);
     if (successors.size() > at_most_once_detail::MaxSuccessorAttempts)
         successors.resize(at_most_once_detail::MaxSuccessorAttempts);
@@ -359,14 +363,14 @@
 
 template <at_most_once_guards Guards>
 std::vector<shard_handover>
-basic_at_most_once<Guards>::handoverParts(std::size_t shard, const lease_cover &cover) const
+basic_at_most_once<Guards>::handoverParts(std::size_t shard, const lease_coverage &coverage) const
 {
     const shard_handover head{m_settings.incarnation,
                               static_cast<std::uint32_t>(shard),
                               0,
                               1,
-                              at_most_once_detail::unixMilliseconds(cover.since),
-                              at_most_once_detail::unixMilliseconds(cover.until),
+                              at_most_once_detail::unixMilliseconds(coverage.since),
+                              at_most_once_detail::unixMilliseconds(coverage.until),
                               {}};
     std::vector<shard_handover> parts{head};
     std::size_t bytes = 0;
@@ -389,13 +393,13 @@
 }
 
 template <at_most_once_guards Guards>
-handed_record basic_at_most_once<Guards>::toHandedRecord(const call_record &record) const
+handover_record basic_at_most_once<Guards>::toHandedRecord(const call_record &record) const
 {
     const auto left = std::chrono::ceil<milliseconds>(record.keepUntil - m_clock.now());
-    handed_record out;
+    handover_record out;
     out.id = record.id;
     out.digest = record.digest;
-    out.keepMilliseconds = std::max(left, milliseconds{0}).count();
+    out.remainingRetentionMilliseconds = std::max(left, milliseconds{0}).count();
     out.finished = record.state == call_state::Finished;
     if (out.finished)
         out.answer = encodeAnswer(record.answer, at_most_once_detail::MaxHandedOutputBytes);
@@ -421,7 +425,7 @@
 }
 
 template <at_most_once_guards Guards>
-bool basic_at_most_once<Guards>::handedOver() const
+bool basic_at_most_once<Guards>::keysHandedOver() const
 {
     return m_leaving && m_sender.idle() && m_pendingMessages.empty();
 }
@@ -430,7 +434,7 @@
 void basic_at_most_once<Guards>::endHandover(const handover_sender::ended_handover &handover,
                                              std::vector<key_home_outgoing> &out)
 {
-    m_home.giveUp(handover.shard, handover.successor, out);
+    m_home.endLease(handover.shard, handover.successor, out);
     if (handover.successor)
         m_successors[handover.shard] = handover.successor->holder.vm;
 }
@@ -456,9 +460,9 @@
                                   m_settings.incarnation, m_home.nextRound(), stored}});
     if (!stored || !addPart(from, message))
         return;
-    const lease_cover cover{wall_time{milliseconds{message.coveredSince}},
-                            wall_time{milliseconds{message.leaseEnd}}};
-    m_home.inherit(message.shard, cover);
+    const lease_coverage coverage{wall_time{milliseconds{message.coveredSince}},
+                                  wall_time{milliseconds{message.leaseEnd}}};
+    m_home.inheritCoverage(message.shard, coverage);
 }
 
 // Stores the records even if the handover fails later: an additional record is harmless.
@@ -472,7 +476,7 @@
             added.id = each.id;
             added.digest = each.digest;
             added.state = call_state::HandedOver;
-            added.keepUntil = m_clock.now() + milliseconds{each.keepMilliseconds};
+            added.keepUntil = m_clock.now() + milliseconds{each.remainingRetentionMilliseconds};
             record = m_records.add(std::move(added));
         }
         if (record == nullptr)
--- a/src/core/once/handover_sender.h
+++ b/src/core/once/handover_sender.h
@@ -26,7 +26,7 @@
     struct ended_handover
     {
         std::size_t shard = 0;
-        std::optional<successor_holder> successor;
+        std::optional<shard_successor> successor;
     };
 
     /// Sends the parts that are due. Returns the handovers that have no candidate left.
--- a/src/core/once/key_home_definitions.h
+++ b/src/core/once/key_home_definitions.h
@@ -73,7 +73,7 @@
 {
     if (Guards::EveryRecentListAgrees && !m_lists.complete(now))
         return false;
-    return !Guards::ListMustBeFresh || now < m_lists.validUntil();
+    return !Guards::ListMustBeConfirmed || now < m_lists.validUntil();
 }
 
 // The lease ends when the votes expire or the list becomes too old, whichever comes first.
@@ -91,7 +91,7 @@
         until = m_lists.majorityUntil(voteOf, Guards::EveryRecentListAgrees);
     else
         until = voteOf(m_settings.vm);
-    return Guards::ListMustBeFresh ? std::min(until, m_lists.validUntil()) : until;
+    return Guards::ListMustBeConfirmed ? std::min(until, m_lists.validUntil()) : until;
 }
 
 // A lease that lapsed, however briefly, starts again with new coverage: another node may have held
@@ -121,7 +121,7 @@
     for (const auto &[voter, votes] : m_votes) {
         const counted_vote &vote = votes[shard];
         if (Guards::CoverageAfterPromises && vote.until > now)
-            since = std::max(since, vote.freeSince);
+            since = std::max(since, vote.noOtherPromiseSince);
     }
     const auto ago = std::max(now - since, steady_time::duration::zero());
     return m_clock.wallNow() - std::chrono::duration_cast<wall_time::duration>(ago);
@@ -179,14 +179,14 @@
     const lease_holder *promised = m_voter.promisedTo(shard);
     const bool taken = promised != nullptr && *promised != self();
     if (taken || !eligible()) {
-        state.freeSince.reset();
+        state.noOtherPromiseSince.reset();
         return false;
     }
-    if (!state.freeSince)
-        state.freeSince = now;
+    if (!state.noOtherPromiseSince)
+        state.noOtherPromiseSince = now;
     if (now < state.backoffUntil)
         return false;
-    return now >= *state.freeSince + m_settings.renewal * static_cast<int>(rank(shard));
+    return now >= *state.noOtherPromiseSince + m_settings.renewal * static_cast<int>(rank(shard));
 }
 
 template <at_most_once_guards Guards>
@@ -250,7 +250,7 @@
     for (const auto &voter : voters) {
         if (voter == m_settings.vm) {
             const auto own = m_voter.grant(self(), m_round, shards);
-            recordVotes(voter, m_round, own.shards, own.freeSince);
+            recordVotes(voter, m_round, own.shards, own.noOtherPromiseSince);
         } else
             out.push_back({voter, lease_request{m_settings.incarnation, m_round, shards}});
     }
@@ -263,7 +263,7 @@
     if (!m_lists.contains(from))
         return;
     const auto granted = m_voter.grant({from, message.holder}, message.round, message.shards);
-    const auto free = std::chrono::floor<milliseconds>(m_clock.now() - granted.freeSince);
+    const auto free = std::chrono::floor<milliseconds>(m_clock.now() - granted.noOtherPromiseSince);
     const auto bounded = std::clamp(free, milliseconds{0}, m_settings.maxListAge);
     out.push_back({from,
                    lease_vote{message.holder, message.round, granted.shards,
@@ -276,15 +276,16 @@
     const bool tracked = message.round <= m_round && message.round + TrackedRounds > m_round;
     if (message.holder != m_settings.incarnation || !tracked || !m_lists.contains(from))
         return;
-    const auto freeSince = m_clock.now() - milliseconds{message.freeMilliseconds};
-    recordVotes(from, message.round, message.granted, freeSince);
+    const auto noOtherPromiseSince =
+        m_clock.now() - milliseconds{message.noOtherPromiseMilliseconds};
+    recordVotes(from, message.round, message.granted, noOtherPromiseSince);
 }
 
 // The voter's promise starts when the request arrives, the lease when it was sent. The promise
 // therefore outlasts the lease, whatever the delay.
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::recordVotes(const vm_id &voter, std::uint64_t round,
-                                         shard_bits granted, steady_time freeSince)
+                                         shard_bits granted, steady_time noOtherPromiseSince)
 {
     const auto sentAt = m_sentAt[round % TrackedRounds];
     const auto from = Guards::LeaseCountsFromRequest ? sentAt : m_clock.now();
@@ -295,7 +296,7 @@
             continue;
         counted_vote &vote = votes[shard];
         if (until > vote.until)
-            vote = {until, freeSince};
+            vote = {until, noOtherPromiseSince};
         updateLease(shard);
     }
 }
@@ -309,18 +310,18 @@
 // Reads the wall clock first. In the other order, a pause between the two reads would let a key
 // pass that was issued during the pause, when the lease may already have ended.
 template <at_most_once_guards Guards>
-home_standing basic_key_home<Guards>::standing(std::size_t shard, wall_time issued) const
+key_admission basic_key_home<Guards>::admission(std::size_t shard, wall_time issued) const
 {
     const auto wall = m_clock.wallNow();
     const auto now = m_clock.now();
     const shard_state &state = m_shards[shard];
     if (Guards::LeaseIsChecked && now >= state.leaseUntil)
-        return home_standing::NoLease;
+        return key_admission::NoLease;
     if (Guards::IssuedAfterLeaseBegan && issued <= state.since + 2 * m_settings.clockSkew)
-        return home_standing::IssuedBeforeLease;
+        return key_admission::IssuedBeforeLease;
     if (Guards::FutureKeysAreRefused && issued >= wall + m_settings.clockSkew)
-        return home_standing::IssuedInFuture;
-    return home_standing::Certain;
+        return key_admission::IssuedInFuture;
+    return key_admission::Certain;
 }
 
 template <at_most_once_guards Guards>
@@ -328,14 +329,14 @@
 {
     shard_bits bits = 0;
     for (std::size_t shard = 0; shard < ShardCount; ++shard) {
-        if (standing(shard, m_clock.wallNow()) == home_standing::Certain)
+        if (admission(shard, m_clock.wallNow()) == key_admission::Certain)
             bits |= shardBit(shard);
     }
     return bits;
 }
 
 template <at_most_once_guards Guards>
-vm_id basic_key_home<Guards>::likelyHome(std::size_t shard) const
+vm_id basic_key_home<Guards>::probableHome(std::size_t shard) const
 {
     if (holdsLease(shard))
         return m_settings.vm;
@@ -371,14 +372,14 @@
 }
 
 template <at_most_once_guards Guards>
-std::optional<lease_cover> basic_key_home<Guards>::cover(std::size_t shard) const
+std::optional<lease_coverage> basic_key_home<Guards>::coverage(std::size_t shard) const
 {
     const auto wall = m_clock.wallNow();
     const auto now = m_clock.now();
     const shard_state &state = m_shards[shard];
     if (now >= state.leaseUntil)
         return std::nullopt;
-    return lease_cover{
+    return lease_coverage{
         state.since,
         wall + std::chrono::duration_cast<wall_time::duration>(state.leaseUntil - now)};
 }
@@ -386,9 +387,9 @@
 // Without a successor, the votes are left to expire. If they were released, a node that is still
 // waiting to inherit an earlier home's coverage could miss keys that this node accepted.
 template <at_most_once_guards Guards>
-void basic_key_home<Guards>::giveUp(std::size_t shard,
-                                    const std::optional<successor_holder> &successor,
-                                    std::vector<key_home_outgoing> &out)
+void basic_key_home<Guards>::endLease(std::size_t shard,
+                                      const std::optional<shard_successor> &successor,
+                                      std::vector<key_home_outgoing> &out)
 {
     shard_state &state = m_shards[shard];
     state.leaseUntil = steady_time::min();
@@ -404,11 +405,11 @@
 }
 
 template <at_most_once_guards Guards>
-void basic_key_home<Guards>::inherit(std::size_t shard, const lease_cover &cover)
+void basic_key_home<Guards>::inheritCoverage(std::size_t shard, const lease_coverage &coverage)
 {
     shard_state &state = m_shards[shard];
     if (!holdsLease(shard))
-        state.inherited = cover;
+        state.inherited = coverage;
 }
 
 } // namespace orchidlead
--- a/src/core/once/key_home_messages.cpp
+++ b/src/core/once/key_home_messages.cpp
@@ -43,7 +43,7 @@
 vote_wire toWire(const lease_vote &message)
 {
     return {tag(message_type::Vote), message.holder, message.round, message.granted,
-            message.freeMilliseconds};
+            message.noOtherPromiseMilliseconds};
 }
 
 release_wire toWire(const lease_release &message)
@@ -62,8 +62,8 @@
     std::vector<record_wire> records;
     records.reserve(message.records.size());
     for (const auto &record : message.records)
-        records.emplace_back(record.id, record.digest, record.keepMilliseconds, record.finished,
-                             record.answer);
+        records.emplace_back(record.id, record.digest, record.remainingRetentionMilliseconds,
+                             record.finished, record.answer);
     return {tag(message_type::Handover),
             message.holder,
             message.shard,
@@ -98,8 +98,8 @@
 
 std::optional<key_home_message> fromVote(const vote_wire &wire)
 {
-    const auto &[type, holder, round, granted, freeMilliseconds] = wire;
-    return lease_vote{holder, round, granted, freeMilliseconds};
+    const auto &[type, holder, round, granted, noOtherPromiseMilliseconds] = wire;
+    return lease_vote{holder, round, granted, noOtherPromiseMilliseconds};
 }
 
 std::optional<key_home_message> fromRelease(const release_wire &wire)
--- a/src/core/once/ticket_ledger.cpp
+++ b/src/core/once/ticket_ledger.cpp
@@ -23,17 +23,17 @@
     return ticket{m_vm, m_self, sequence};
 }
 
-ticket_standing ticket_ledger::standing(const ticket &value) const
+ticket_status ticket_ledger::status(const ticket &value) const
 {
     if (value.vm != m_vm)
-        return ticket_standing::OtherVm;
+        return ticket_status::OtherVm;
     if (value.incarnation != m_self)
-        return ticket_standing::OtherIncarnation;
+        return ticket_status::OtherIncarnation;
     if (value.sequence < m_floor)
-        return ticket_standing::Expired;
+        return ticket_status::Expired;
     if (value.sequence - m_floor >= m_mintedAt.size())
-        return ticket_standing::NeverMinted;
-    return expired(value.sequence) ? ticket_standing::Expired : ticket_standing::Valid;
+        return ticket_status::NeverMinted;
+    return expired(value.sequence) ? ticket_status::Expired : ticket_status::Valid;
 }
 
 void ticket_ledger::tick()
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -52,7 +52,7 @@
         return listening;
     if (auto started = m_control.start(); !started)
         return failure(daemon_error{"peer address: " + started.error().what});
-    tickGate();
+    tickAtMostOnce();
     return success();
 }
 
@@ -127,7 +127,7 @@
     events.onDatagram = [this](datagram_kind kind, const auto &from, std::string_view bytes) {
         const vm_id sender = vmAt(from);
         if (kind == datagram_kind::Gate)
-            onGateMessage(sender, bytes);
+            onAtMostOnceMessage(sender, bytes);
         else if (!sender.empty())
             m_news.onDatagram(bytes);
     };
@@ -158,8 +158,8 @@
             return std::nullopt;
         return wire::configuration_content{keeper.stamp().version, keeper.content()};
     };
-    events.onGateMessage = [this](const vm_id &from, const std::string &bytes) {
-        onGateMessage(from, bytes);
+    events.onAtMostOnceMessage = [this](const vm_id &from, const std::string &bytes) {
+        onAtMostOnceMessage(from, bytes);
     };
     events.onForwarded = [this](caller_request request, peer_answer onEnd) {
         refreshAdmission();
@@ -203,12 +203,12 @@
         m_loop.post([this, vm = fetch.vm] { m_control.onPeerFailed(vm); });
 }
 
-void orchidlead_daemon::onGateMessage(const vm_id &from, std::string_view bytes)
+void orchidlead_daemon::onAtMostOnceMessage(const vm_id &from, std::string_view bytes)
 {
     if (from.empty())
         return;
     std::vector<peer_message> answers;
-    m_shell.onGateMessage(from, bytes, answers);
+    m_shell.onAtMostOnceMessage(from, bytes, answers);
     send(answers);
 }
 
@@ -225,12 +225,12 @@
     }
 }
 
-void orchidlead_daemon::tickGate()
+void orchidlead_daemon::tickAtMostOnce()
 {
     std::vector<peer_message> messages;
-    m_shell.tickGate(messages);
+    m_shell.tickAtMostOnce(messages);
     send(messages);
-    m_gateTimer = m_loop.callAfter(GateTickInterval, [this] { tickGate(); });
+    m_gateTimer = m_loop.callAfter(GateTickInterval, [this] { tickAtMostOnce(); });
 }
 
 // A pause is noticed before anything is taken on, so that nothing is routed by what was true
@@ -332,7 +332,7 @@
 {
     stop_progress out;
     out.idle = m_shell.state().idle();
-    out.handedOver = m_shell.state().handedOver();
+    out.keysHandedOver = m_shell.state().keysHandedOver();
     out.lastDeadline = m_shell.state().lastDeadline();
     out.connectionsClosed = m_callerServer->connections() == 0;
     return out;
@@ -359,7 +359,7 @@
         break;
     case stop_phase::Draining:
         refreshAdmission();
-        m_shell.startLeaving();
+        m_shell.startKeyHandover();
         break;
     case stop_phase::Closing:
         m_callerServer->stopListening();
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -69,9 +69,9 @@
     [[nodiscard]] std::optional<socket_address> addressOf(const vm_id &vm) const;
     [[nodiscard]] vm_id vmAt(const socket_address &address) const;
     void fetchFromPeer(const fetch_from_peer &fetch);
-    void onGateMessage(const vm_id &from, std::string_view bytes);
+    void onAtMostOnceMessage(const vm_id &from, std::string_view bytes);
     void send(const std::vector<peer_message> &messages);
-    void tickGate();
+    void tickAtMostOnce();
     void refreshAdmission();
     void applyAdmission();
     void reportReadiness();
--- a/src/daemon/node_shell.h
+++ b/src/daemon/node_shell.h
@@ -65,12 +65,13 @@
     void onForwardAnswer(const request_id &request, final_answer answer);
     void onForwardFailed(const request_id &request, const std::string &detail);
     [[nodiscard]] std::optional<std::string> mintTicket() { return m_node.mintTicket(); }
-    void tickGate(std::vector<peer_message> &out) { m_node.tickGate(out); }
-    void onGateMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out)
+    void tickAtMostOnce(std::vector<peer_message> &out) { m_node.tickAtMostOnce(out); }
+    void onAtMostOnceMessage(const vm_id &from, std::string_view bytes,
+                             std::vector<peer_message> &out)
     {
-        m_node.onGateMessage(from, bytes, out);
+        m_node.onAtMostOnceMessage(from, bytes, out);
     }
-    void startLeaving() { m_node.startLeaving(); }
+    void startKeyHandover() { m_node.startKeyHandover(); }
 
     /// Stops or goes on reading what backend servers send for a request.
     void setReading(const request_id &request, bool reading);
--- a/src/daemon/peer_link.cpp
+++ b/src/daemon/peer_link.cpp
@@ -48,8 +48,8 @@
     out.fetchConfiguration = [this](const wire::configuration_fetch &fetch) {
         return m_events.fetchConfiguration(fetch.version);
     };
-    out.onGateMessage = [this](const wire::gate_message &message) {
-        m_events.onGateMessage(message.from, message.bytes);
+    out.onAtMostOnceMessage = [this](const wire::gate_message &message) {
+        m_events.onAtMostOnceMessage(message.from, message.bytes);
     };
     out.onForward = [this](const wire::forward_request &request,
                            const std::shared_ptr<wire::forward_reply> &to) {
--- a/src/daemon/peer_link.h
+++ b/src/daemon/peer_link.h
@@ -28,7 +28,7 @@
 {
     std::function<std::optional<wire::configuration_content>(std::uint64_t version)>
         fetchConfiguration;
-    std::function<void(const vm_id &from, const std::string &bytes)> onGateMessage;
+    std::function<void(const vm_id &from, const std::string &bytes)> onAtMostOnceMessage;
     /// Runs a peer's request; `onEnd` is to be called once.
     std::function<void(caller_request request, peer_answer onEnd)> onForwarded;
     std::function<void(const request_id &request, final_answer answer)> onForwardAnswer;
--- a/src/wire/peer_server.cpp
+++ b/src/wire/peer_server.cpp
@@ -134,9 +134,9 @@
                                                   Json::Value &result)
 {
     const auto message = parseGateMessage(parameters);
-    if (!message || !m_handlers.onGateMessage)
+    if (!message || !m_handlers.onAtMostOnceMessage)
         throw jsonrpc::JsonRpcException(jsonrpc::Errors::ERROR_RPC_INVALID_PARAMS);
-    m_handlers.onGateMessage(*message);
+    m_handlers.onAtMostOnceMessage(*message);
     result = Json::Value{Json::objectValue};
 }
 
--- a/src/wire/peer_server.h
+++ b/src/wire/peer_server.h
@@ -35,7 +35,7 @@
     /// Gives nothing where the node has no such version.
     std::function<std::optional<configuration_content>(const configuration_fetch &)>
         fetchConfiguration;
-    std::function<void(const gate_message &)> onGateMessage;
+    std::function<void(const gate_message &)> onAtMostOnceMessage;
     std::function<void(forward_request, std::shared_ptr<forward_reply>)> onForward;
 };
 
--- a/tests/core/at_most_once_guards_test.cpp
+++ b/tests/core/at_most_once_guards_test.cpp
@@ -26,15 +26,15 @@
 WITHOUT(FutureKeysAreRefused);
 WITHOUT(OldKeysAreRefused);
 WITHOUT(MajorityOfVoters);
-WITHOUT(FreshVoterWaits);
+WITHOUT(RestartedVoterWaits);
 WITHOUT(LeaseCountsFromRequest);
 WITHOUT(EveryRecentListAgrees);
-WITHOUT(ListMustBeFresh);
+WITHOUT(ListMustBeConfirmed);
 WITHOUT(LateReleaseIsIgnored);
 WITHOUT(HandoverWithinLease);
 WITHOUT(UncertainMeansUnknown);
 WITHOUT(RefusalIsFinal);
-WITHOUT(TicketNamesIncarnation);
+WITHOUT(TicketIncarnationIsChecked);
 WITHOUT(TicketRunsOnce);
 
 constexpr std::uint64_t MaxSeeds = 400;
@@ -128,7 +128,7 @@
 
 TEST_CASE("without the wait of a restarted voter a call runs twice")
 {
-    checkGuard<without_FreshVoterWaits>(
+    checkGuard<without_RestartedVoterWaits>(
         {{fault_kind::Partition, fault_kind::Restart}, 60, 5, 40, 0.03, 26});
 }
 
@@ -144,7 +144,7 @@
 
 TEST_CASE("without the bound on the age of the list a call runs twice")
 {
-    checkGuard<without_ListMustBeFresh>({});
+    checkGuard<without_ListMustBeConfirmed>({});
 }
 
 TEST_CASE("without ignoring late releases a call runs twice")
@@ -171,7 +171,7 @@
 
 TEST_CASE("without the incarnation in a ticket a call runs twice")
 {
-    checkGuard<without_TicketNamesIncarnation>({});
+    checkGuard<without_TicketIncarnationIsChecked>({});
 }
 
 TEST_CASE("without the record of a ticket a call runs twice")
--- a/tests/core/at_most_once_simulation.cpp
+++ b/tests/core/at_most_once_simulation.cpp
@@ -334,7 +334,7 @@
 
 void simulation::request(const process_ptr &on, std::size_t index, bool forwarded)
 {
-    once_request asked;
+    non_repeatable_request asked;
     asked.customer = customer_id{"saare"};
     asked.homeDataCenter = OwnDataCenter;
     (m_calls[index].isTicket ? asked.ticket : asked.key) = m_calls[index].name;
@@ -342,11 +342,11 @@
     asked.deadline = on->clock->now() + Deadline;
     asked.forwarded = forwarded;
     const auto verdict = on->gate->onRequest(asked);
-    if (const auto *here = std::get_if<run_here>(&verdict)) {
+    if (const auto *here = std::get_if<run_locally>(&verdict)) {
         const auto record = here->record;
         atProcess(m_now + drawTime(milliseconds{500}), on,
                   [this, on, index, record] { check(on, index, record); });
-    } else if (const auto *answer = std::get_if<give_answer>(&verdict)) {
+    } else if (const auto *answer = std::get_if<return_stored_answer>(&verdict)) {
         ++m_result.repeatedAnswers;
         recordOutcome(index, answer->answer.outcome);
     } else if (const auto *refused = std::get_if<refuse_call>(&verdict)) {
@@ -461,7 +461,7 @@
     if (on->leaving)
         return;
     on->leaving = true;
-    on->gate->startLeaving();
+    on->gate->startKeyHandover();
     at(m_now + milliseconds{6'000}, [this, on] {
         if (on->alive && std::find(m_listed.begin(), m_listed.end(), on->vm) != m_listed.end())
             replace(on, false);
--- a/tests/core/at_most_once_simulation.h
+++ b/tests/core/at_most_once_simulation.h
@@ -23,7 +23,7 @@
 public:
     virtual ~any_gate() = default;
     virtual std::optional<std::string> mintTicket() = 0;
-    virtual once_verdict onRequest(const once_request &request) = 0;
+    virtual at_most_once_verdict onRequest(const non_repeatable_request &request) = 0;
     virtual bool mayDispatch(record_handle record) const = 0;
     virtual void onDispatched(record_handle record) = 0;
     virtual void onFinished(record_handle record, const final_answer &answer) = 0;
@@ -31,8 +31,8 @@
     virtual void onPeerMessage(const vm_id &from, std::string_view bytes,
                                std::vector<peer_message> &out) = 0;
     virtual void setMembers(std::span<const member> members, steady_time confirmedAt) = 0;
-    virtual void startLeaving() = 0;
-    virtual bool handedOver() const = 0;
+    virtual void startKeyHandover() = 0;
+    virtual bool keysHandedOver() const = 0;
 };
 
 template <at_most_once_guards Guards>
@@ -44,7 +44,10 @@
     { }
 
     std::optional<std::string> mintTicket() override { return m_gate.mintTicket(); }
-    once_verdict onRequest(const once_request &r) override { return m_gate.onRequest(r); }
+    at_most_once_verdict onRequest(const non_repeatable_request &r) override
+    {
+        return m_gate.onRequest(r);
+    }
     bool mayDispatch(record_handle r) const override { return m_gate.mayDispatch(r); }
     void onDispatched(record_handle r) override { m_gate.onDispatched(r); }
     void onFinished(record_handle r, const final_answer &a) override { m_gate.onFinished(r, a); }
@@ -58,8 +61,8 @@
     {
         m_gate.setMembers(members, confirmedAt);
     }
-    void startLeaving() override { m_gate.startLeaving(); }
-    bool handedOver() const override { return m_gate.handedOver(); }
+    void startKeyHandover() override { m_gate.startKeyHandover(); }
+    bool keysHandedOver() const override { return m_gate.keysHandedOver(); }
 
 private:
     basic_at_most_once<Guards> m_gate;
--- a/tests/core/at_most_once_test.cpp
+++ b/tests/core/at_most_once_test.cpp
@@ -51,10 +51,10 @@
         gate.tick(sent);
     }
 
-    once_request request(const std::string &randomText, milliseconds age = 0ms) const
+    non_repeatable_request request(const std::string &randomText, milliseconds age = 0ms) const
     {
         const auto issued = (clock.wallNow() - age).time_since_epoch();
-        once_request made;
+        non_repeatable_request made;
         made.customer = customer_id{"saare"};
         made.homeDataCenter = data_center_id{"dc"};
         made.key =
@@ -77,7 +77,7 @@
 }
 
 template <class Verdict>
-Verdict expect(const once_verdict &verdict)
+Verdict expect(const at_most_once_verdict &verdict)
 {
     const auto *refused = std::get_if<refuse_call>(&verdict);
     INFO("refused: " << (refused != nullptr ? refused->detail : "no"));
@@ -91,12 +91,13 @@
 {
     single_node node;
     const auto request = node.request("-a1b2c3d4");
-    const auto record = expect<run_here>(node.gate.onRequest(request)).record;
-    CHECK(expect<attach_to>(node.gate.onRequest(request)).record == record);
+    const auto record = expect<run_locally>(node.gate.onRequest(request)).record;
+    CHECK(expect<attach_to_call>(node.gate.onRequest(request)).record == record);
     CHECK(node.gate.mayDispatch(record));
     node.gate.onDispatched(record);
     node.gate.onFinished(record, answered("\"seat 12\""));
-    CHECK(*expect<give_answer>(node.gate.onRequest(request)).answer.output == "\"seat 12\"");
+    CHECK(*expect<return_stored_answer>(node.gate.onRequest(request)).answer.output
+          == "\"seat 12\"");
     CHECK_FALSE(node.gate.mayDispatch(record));
 }
 
@@ -104,7 +105,7 @@
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
-    expect<run_here>(node.gate.onRequest(request));
+    expect<run_locally>(node.gate.onRequest(request));
     request.digest = 99;
     const auto refused = expect<refuse_call>(node.gate.onRequest(request));
     CHECK(refused.outcome == outcome::NotRun);
@@ -115,9 +116,9 @@
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
-    const auto first = expect<run_here>(node.gate.onRequest(request)).record;
+    const auto first = expect<run_locally>(node.gate.onRequest(request)).record;
     request.customer = customer_id{"hiiu"};
-    CHECK_FALSE(expect<run_here>(node.gate.onRequest(request)).record == first);
+    CHECK_FALSE(expect<run_locally>(node.gate.onRequest(request)).record == first);
 }
 
 TEST_CASE("a call whose answer was evicted is refused and not run again")
@@ -126,7 +127,7 @@
     settings.maxAnswerBytes = 10;
     single_node node{settings};
     const auto request = node.request("-a1b2c3d4");
-    const auto record = expect<run_here>(node.gate.onRequest(request)).record;
+    const auto record = expect<run_locally>(node.gate.onRequest(request)).record;
     node.gate.onFinished(record, answered("\"longer than ten bytes\""));
     const auto refused = expect<refuse_call>(node.gate.onRequest(request));
     CHECK(refused.outcome == outcome::Failed);
@@ -137,7 +138,7 @@
 {
     single_node node;
     const auto request = node.request("-a1b2c3d4");
-    const auto record = expect<run_here>(node.gate.onRequest(request)).record;
+    const auto record = expect<run_locally>(node.gate.onRequest(request)).record;
     node.gate.onFinished(record, answered("1"));
     for (int second = 0; second < 610; ++second)
         node.step();
@@ -150,7 +151,7 @@
 TEST_CASE("a call past its deadline may not be sent")
 {
     single_node node;
-    const auto record = expect<run_here>(node.gate.onRequest(node.request("-a1b2c3d4"))).record;
+    const auto record = expect<run_locally>(node.gate.onRequest(node.request("-a1b2c3d4"))).record;
     node.clock.advance(4s);
     CHECK_FALSE(node.gate.mayDispatch(record));
 }
@@ -160,7 +161,7 @@
     auto settings = settingsOf("vm-0");
     settings.maxRecords = 1;
     single_node node{settings};
-    expect<run_here>(node.gate.onRequest(node.request("-a1b2c3d4")));
+    expect<run_locally>(node.gate.onRequest(node.request("-a1b2c3d4")));
     const auto refused = expect<refuse_call>(node.gate.onRequest(node.request("-e5f6a7b8")));
     CHECK(refused.outcome == outcome::Unknown);
     CHECK(refused.reason == refusal_reason::Overloaded);
@@ -169,7 +170,7 @@
 TEST_CASE("a ticket is forwarded to the VM that minted it but not forwarded twice")
 {
     single_node node;
-    once_request request;
+    non_repeatable_request request;
     request.ticket = "t.vm-9.ab.1";
     CHECK(expect<forward_to>(node.gate.onRequest(request)).vm == vm_id{"vm-9"});
     request.forwarded = true;
@@ -181,10 +182,10 @@
     manual_clock clock;
     at_most_once gate{settingsOf("vm-0"), clock};
     gate.setMembers(membersOf(1), clock.now());
-    once_request request;
+    non_repeatable_request request;
     request.ticket = gate.mintTicket();
     request.deadline = clock.now() + 4s;
-    expect<run_here>(gate.onRequest(request));
+    expect<run_locally>(gate.onRequest(request));
     request.ticket.reset();
     request.homeDataCenter = data_center_id{"dc"};
     const auto now =
--- a/tests/core/planned_stop_test.cpp
+++ b/tests/core/planned_stop_test.cpp
@@ -52,7 +52,7 @@
     harness.progress.idle = true;
     harness.tickAfter(milliseconds{1});
     CHECK(harness.stop.phase() == stop_phase::Draining);
-    harness.progress.handedOver = true;
+    harness.progress.keysHandedOver = true;
     harness.tickAfter(milliseconds{1});
     CHECK(harness.stop.phase() == stop_phase::Closing);
     harness.tickAfter(Close);
--- a/tests/core/ticket_test.cpp
+++ b/tests/core/ticket_test.cpp
@@ -32,14 +32,14 @@
     manual_clock clock;
     ticket_ledger ledger{vm_id{"a"}, 7, 1000ms, 10, clock};
     const ticket minted = ledger.mint().value();
-    CHECK(ledger.standing(minted) == ticket_standing::Valid);
-    CHECK(ledger.standing({vm_id{"b"}, 7, 1}) == ticket_standing::OtherVm);
-    CHECK(ledger.standing({vm_id{"a"}, 8, 1}) == ticket_standing::OtherIncarnation);
-    CHECK(ledger.standing({vm_id{"a"}, 7, 2}) == ticket_standing::NeverMinted);
+    CHECK(ledger.status(minted) == ticket_status::Valid);
+    CHECK(ledger.status({vm_id{"b"}, 7, 1}) == ticket_status::OtherVm);
+    CHECK(ledger.status({vm_id{"a"}, 8, 1}) == ticket_status::OtherIncarnation);
+    CHECK(ledger.status({vm_id{"a"}, 7, 2}) == ticket_status::NeverMinted);
     clock.advance(1000ms);
-    CHECK(ledger.standing(minted) == ticket_standing::Expired);
+    CHECK(ledger.status(minted) == ticket_status::Expired);
     ledger.tick();
-    CHECK(ledger.standing(minted) == ticket_standing::Expired);
+    CHECK(ledger.status(minted) == ticket_status::Expired);
 }
 
 TEST_CASE("a ledger at its capacity mints nothing until a ticket expires")
