--- a/bench/engine_variants_retry.cpp
+++ b/bench/engine_variants_retry.cpp
@@ -18,7 +18,7 @@
 
 struct fixed_silence_set : default_engine_policies
 {
-    using silence = fixed_silence_threshold;
+    using silence = fixed_suspicion_timeout;
 };
 
 struct no_retries_set : default_engine_policies
--- a/bench/policy_variants.h
+++ b/bench/policy_variants.h
@@ -7,14 +7,14 @@
 /// What the daemon runs; each variant below has one policy of it replaced by the plain one.
 struct product
 {
-    using answers = echo_guard;
+    using answers = echoed_key_guard;
     using repeats = at_most_once_guard;
     using router = load_router;
     using limit = aimd_limit;
     using admission = deadline_admission;
     using budget = retry_budget;
     using hedging = slack_hedging;
-    using silence = risk_aware_silence_threshold;
+    using silence = risk_aware_suspicion_timeout;
     template <class Item>
     using queue = fair_queue<Item>;
 };
@@ -45,7 +45,7 @@
 
 struct fixed_detector : product
 {
-    using silence = fixed_silence_threshold;
+    using silence = fixed_suspicion_timeout;
 };
 
 /// Round robin without hedges, all else as the daemon has it.
--- a/include/orchidlead/failure_detector.h
+++ b/include/orchidlead/failure_detector.h
@@ -11,7 +11,7 @@
 namespace orchidlead {
 
 /// Inputs to the time-out after which the server of an unanswered attempt is suspected.
-struct silence_view
+struct suspicion_input
 {
     std::chrono::microseconds typical{0}; ///< median duration of such an attempt
     std::chrono::microseconds tail{0}; ///< 99th percentile; 0: no samples yet
@@ -22,8 +22,8 @@
 
 /// Time without an answer after which an attempt's backend server is suspected.
 template <class Policy>
-concept silence_threshold = std::default_initializable<Policy> && requires(const Policy &policy,
-                                                                           const silence_view &view)
+concept suspicion_timeout_policy = std::default_initializable<Policy> && requires(
+    const Policy &policy, const suspicion_input &view)
 {
     {
         policy.after(view)
@@ -31,16 +31,16 @@
 };
 
 /// A fixed multiple of the tail latency.
-struct fixed_silence_threshold
+struct fixed_suspicion_timeout
 {
-    [[nodiscard]] std::chrono::microseconds after(const silence_view &view) const;
+    [[nodiscard]] std::chrono::microseconds after(const suspicion_input &view) const;
 };
 
 /// Shorter when more is at risk: when little slack is left, and when a larger fraction of the pool
 /// is already suspected.
-struct risk_aware_silence_threshold
+struct risk_aware_suspicion_timeout
 {
-    [[nodiscard]] std::chrono::microseconds after(const silence_view &view) const;
+    [[nodiscard]] std::chrono::microseconds after(const suspicion_input &view) const;
 };
 
 struct failure_detector_settings
@@ -72,8 +72,8 @@
     [[nodiscard]] health_change onFailure(std::uint32_t slot, steady_time now);
 
     /// Starts probing the slots whose ejection has ended, and returns them.
-    [[nodiscard]] std::vector<std::uint32_t> takeDue(steady_time now);
-    [[nodiscard]] std::optional<steady_time> nextDue() const;
+    [[nodiscard]] std::vector<std::uint32_t> startDueProbes(steady_time now);
+    [[nodiscard]] std::optional<steady_time> nextProbeAt() const;
 
     [[nodiscard]] server_health health(std::uint32_t slot) const { return m_slots[slot].health; }
     [[nodiscard]] double suspectedShare() const;
@@ -96,7 +96,7 @@
     std::uint32_t m_suspected = 0; ///< ejected or probing
 };
 
-static_assert(silence_threshold<fixed_silence_threshold>);
-static_assert(silence_threshold<risk_aware_silence_threshold>);
+static_assert(suspicion_timeout_policy<fixed_suspicion_timeout>);
+static_assert(suspicion_timeout_policy<risk_aware_suspicion_timeout>);
 
 } // namespace orchidlead
--- a/include/orchidlead/router.h
+++ b/include/orchidlead/router.h
@@ -22,7 +22,7 @@
     /// Running and queued calls according to the server's last report, which lags.
     std::uint32_t reported = 0;
     double latency = 0.0; ///< smoothed, ms; 0: no samples yet
-    steady_time returnedAt{}; ///< start of the slow start
+    steady_time slowStartBegin{}; ///< start of the slow start
     bool local = true; ///< in this process's data centre
     bool available = false; ///< an attempt may be sent now
     bool probing = false; ///< being probed after an ejection
--- a/src/core/once/guards.h
+++ b/src/core/once/guards.h
@@ -17,7 +17,7 @@
         } -> std::same_as<bool>;
 };
 
-struct echo_guard
+struct echoed_key_guard
 {
     static bool accepts(const attempt_key &sent, const attempt_key &echoed)
     {
@@ -52,10 +52,10 @@
 
 /// Decides whether a stage may be retried or hedged, and whether an ended attempt did not run.
 template <class Guard>
-concept repeat_guard = requires(const stage_plan &stage, const attempt_end &end)
+concept retry_guard = requires(const stage_plan &stage, const attempt_end &end)
 {
     {
-        Guard::mayTryAgain(stage, end)
+        Guard::mayRetry(stage, end)
         } -> std::same_as<bool>;
     {
         Guard::mayHedge(stage)
@@ -67,7 +67,7 @@
 
 struct at_most_once_guard
 {
-    static bool mayTryAgain(const stage_plan &stage, const attempt_end &end)
+    static bool mayRetry(const stage_plan &stage, const attempt_end &end)
     {
         return stage.repeatable || orchidlead::provesNotRun(end);
     }
@@ -75,7 +75,7 @@
     static bool provesNotRun(const attempt_end &end) { return orchidlead::provesNotRun(end); }
 };
 
-static_assert(answer_guard<echo_guard>);
-static_assert(repeat_guard<at_most_once_guard>);
+static_assert(answer_guard<echoed_key_guard>);
+static_assert(retry_guard<at_most_once_guard>);
 
 } // namespace orchidlead
--- a/src/core/requests/engine_admission_impl.h
+++ b/src/core/requests/engine_admission_impl.h
@@ -60,7 +60,7 @@
     log(decision_kind::Admit, state, 0, 0, state.exploring ? "exploring" : "in time", out);
     addTimer(timer_kind::Deadline, state.request.deadline, state);
     for (std::uint32_t stage = 0; stage < state.stages.size(); ++stage)
-        poolOf(state, stage)->expect(state.plan().customer);
+        poolOf(state, stage)->addExpected(state.plan().customer);
     enqueueReadyStages(state, out);
     dispatchChangedPools(out);
 }
@@ -216,7 +216,7 @@
         if (stage.status == stage_status::Queued && pool != nullptr)
             pool->queue.remove(stage.position);
         if (stage.countedAsExpected && pool != nullptr)
-            pool->unexpect(state.plan().customer);
+            pool->removeExpected(state.plan().customer);
         for (attempt_state &attempt : stage.attempts) {
             if (attempt.live)
                 abandon(state, index, attempt, late, "request ended", out);
--- a/src/core/requests/engine_attempts_impl.h
+++ b/src/core/requests/engine_attempts_impl.h
@@ -116,7 +116,7 @@
     const auto quantile = [&](double share) {
         return m_estimates.quantile(state.plan(), index, state.sizeClass, share);
     };
-    silence_view silence{attempt.medianTime, quantile(0.99), slack, pool.suspectedShare()};
+    suspicion_input silence{attempt.medianTime, quantile(0.99), slack, pool.suspectedShare()};
     const steady_time silent = now + m_silence.after(silence);
     if (silent < end)
         addTimer(timer_kind::Silence, silent, state, index, attempt.number);
@@ -284,7 +284,7 @@
 {
     stage_state &stage = state.stages[index];
     pool_type *pool = poolOf(state, index);
-    const bool allowed = Policies::repeats::mayTryAgain(state.plan().stages[index], end)
+    const bool allowed = Policies::repeats::mayRetry(state.plan().stages[index], end)
         && stage.streamingAttempt == 0 && stage.attempts.size() < m_settings.maxAttemptsPerStage;
     const bool canSucceed = pool != nullptr && pool->usable() > 0 && !pool->breaker.isOpen()
         && latestStart(state, index, true) > m_clock.now();
@@ -334,7 +334,7 @@
     out.emplace_back(cancel_attempt{{state.request.id, index, attempt.number}, attempt.server});
     if (pool_type *pool = poolOf(state, index)) {
         if (countLatency)
-            pool->onOutrun(attempt.slot, elapsed, attempt.medianTime, now);
+            pool->onLatencyLowerBound(attempt.slot, elapsed, attempt.medianTime, now);
         pool->onReleased(attempt.slot, now);
         markChanged(*pool);
     }
@@ -393,7 +393,7 @@
     const duration elapsed = std::chrono::duration_cast<duration>(now - attempt.started);
     const bool wasOpen = pool->breaker.isOpen();
     const std::uint64_t serial = state.serial;
-    const auto change = pool->onSilent(attempt.slot, elapsed, attempt.medianTime, now);
+    const auto change = pool->onSuspicionTimeout(attempt.slot, elapsed, attempt.medianTime, now);
     logHealth(*pool, attempt.slot, change, out);
     markChanged(*pool);
     if (!wasOpen && pool->breaker.isOpen())
--- a/src/core/requests/engine_stages_impl.h
+++ b/src/core/requests/engine_stages_impl.h
@@ -100,7 +100,7 @@
     stage_state &stage = state.stages[index];
     pool_type *pool = poolOf(state, index);
     if (stage.countedAsExpected && pool != nullptr)
-        pool->unexpect(state.plan().customer);
+        pool->removeExpected(state.plan().customer);
     stage.countedAsExpected = false;
     if (pool == nullptr || pool->usable() == 0) {
         finishUnanswered(state,
@@ -227,7 +227,7 @@
         return;
     const auto waited = std::chrono::duration<double, std::milli>(now - stage.readySince).count();
     pool.onStarted(stage.position.lane, now);
-    pool.smoothedQueueWait += (waited - pool.smoothedQueueWait) * pool_constants::WaitWeight;
+    pool.smoothedQueueWait += (waited - pool.smoothedQueueWait) * pool_constants::QueueWaitWeight;
     dispatch(pool, *state, item.stage, *choice, false, out);
 }
 
--- a/src/core/servers/failure_detector.cpp
+++ b/src/core/servers/failure_detector.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-microseconds fixed_silence_threshold::after(const silence_view &view) const
+microseconds fixed_suspicion_timeout::after(const suspicion_input &view) const
 {
     if (view.tail.count() == 0)
         return DefaultThreshold;
@@ -32,7 +32,7 @@
 // Applies risk-aware failure identification to requests: at risk are the deadline of the request
 // and the pool's capacity to compensate for the server. Half of the slack is the latest time at
 // which a retry of the same length can still succeed.
-microseconds risk_aware_silence_threshold::after(const silence_view &view) const
+microseconds risk_aware_suspicion_timeout::after(const suspicion_input &view) const
 {
     if (view.tail.count() == 0)
         return DefaultThreshold;
@@ -103,7 +103,7 @@
     ++state.ejections;
 }
 
-std::vector<std::uint32_t> failure_detector::takeDue(steady_time now)
+std::vector<std::uint32_t> failure_detector::startDueProbes(steady_time now)
 {
     std::vector<std::uint32_t> due;
     if (m_suspected == 0)
@@ -118,7 +118,7 @@
     return due;
 }
 
-std::optional<steady_time> failure_detector::nextDue() const
+std::optional<steady_time> failure_detector::nextProbeAt() const
 {
     std::optional<steady_time> next;
     if (m_suspected == 0)
--- a/src/core/servers/leaving_news.cpp
+++ b/src/core/servers/leaving_server_set.cpp
@@ -1,4 +1,4 @@
-#include "core/servers/leaving_news.h"
+#include "core/servers/leaving_server_set.h"
 
 namespace orchidlead {
 
@@ -12,16 +12,16 @@
 
 } // namespace
 
-std::vector<server_news> leaving_news::all() const
+std::vector<leaving_update> leaving_server_set::all() const
 {
-    std::vector<server_news> out;
+    std::vector<leaving_update> out;
     out.reserve(m_leaving.size());
     for (const auto &[server, since] : m_leaving)
         out.push_back({server, true});
     return out;
 }
 
-bool leaving_news::note(const server_news &news)
+bool leaving_server_set::note(const leaving_update &news)
 {
     const auto found = m_leaving.find(news.server);
     if (news.leaving) {
--- a/src/core/servers/router.cpp
+++ b/src/core/servers/router.cpp
@@ -42,9 +42,10 @@
 double slowStartShare(const routing_entry &entry, std::chrono::milliseconds span, steady_time now)
 {
     constexpr double MinShare = 0.1;
-    if (entry.returnedAt == steady_time{})
+    if (entry.slowStartBegin == steady_time{})
         return 1.0;
-    const auto since = std::chrono::duration<double, std::milli>(now - entry.returnedAt).count();
+    const auto since =
+        std::chrono::duration<double, std::milli>(now - entry.slowStartBegin).count();
     return std::clamp(since / static_cast<double>(span.count()), MinShare, 1.0);
 }
 
--- a/src/core/servers/service_pool.h
+++ b/src/core/servers/service_pool.h
@@ -83,12 +83,13 @@
                                          std::optional<milliseconds> retryAfter, steady_time now);
 
     /// Counts a failure of a server that has exceeded the silence threshold of a running attempt.
-    [[nodiscard]] health_change onSilent(std::uint32_t slot, duration elapsed, duration typical,
-                                         steady_time now);
+    [[nodiscard]] health_change onSuspicionTimeout(std::uint32_t slot, duration elapsed,
+                                                   duration typical, steady_time now);
 
     /// Records that another server answered first, so that `elapsed` is a lower bound of this one's
     /// latency.
-    void onOutrun(std::uint32_t slot, duration elapsed, duration typical, steady_time now);
+    void onLatencyLowerBound(std::uint32_t slot, duration elapsed, duration typical,
+                             steady_time now);
 
     /// Ends an attempt that this node abandoned.
     void onReleased(std::uint32_t slot, steady_time now);
@@ -113,8 +114,8 @@
     void onStarted(std::uint32_t lane, steady_time now);
 
     /// Counts an open request that a later stage will queue here, until it is queued or ends.
-    void expect(const customer_id &customer);
-    void unexpect(const customer_id &customer);
+    void addExpected(const customer_id &customer);
+    void removeExpected(const customer_id &customer);
 
     /// Estimates how many items of the lane, queued or expected, are served before a new one.
     [[nodiscard]] std::size_t ahead(std::uint32_t lane, const customer_id &customer) const;
--- a/src/core/servers/service_pool_impl.h
+++ b/src/core/servers/service_pool_impl.h
@@ -20,7 +20,7 @@
 inline constexpr std::chrono::seconds BusyWindow{1};
 inline constexpr milliseconds MaxBackoff{5'000};
 inline constexpr std::chrono::seconds LeavingHoldTime{5};
-inline constexpr double WaitWeight = 1.0 / 16;
+inline constexpr double QueueWaitWeight = 1.0 / 16;
 inline constexpr double LowLaneShare = 1.0 / 8; ///< as in `fair_queue::LowLaneEvery`
 } // namespace pool_constants
 
@@ -226,10 +226,10 @@
 }
 
 template <class Policies>
-health_change service_pool<Policies>::onSilent(std::uint32_t slot, duration elapsed,
-                                               duration typical, steady_time now)
+health_change service_pool<Policies>::onSuspicionTimeout(std::uint32_t slot, duration elapsed,
+                                                         duration typical, steady_time now)
 {
-    onOutrun(slot, elapsed, typical, now);
+    onLatencyLowerBound(slot, elapsed, typical, now);
     breaker.onFailure(slot, m_members, now);
     const health_change change = onHealth(slot, m_detector.onFailure(slot, now), now);
     refresh(slot, now);
@@ -237,8 +237,8 @@
 }
 
 template <class Policies>
-void service_pool<Policies>::onOutrun(std::uint32_t slot, duration elapsed, duration typical,
-                                      steady_time now)
+void service_pool<Policies>::onLatencyLowerBound(std::uint32_t slot, duration elapsed,
+                                                 duration typical, steady_time now)
 {
     double &latency = m_entries[slot].latency;
     const double lowerBound = normalized(elapsed, typical);
@@ -257,11 +257,11 @@
                                                steady_time now)
 {
     if (change == health_change::Restored) {
-        m_entries[slot].returnedAt = now;
+        m_entries[slot].slowStartBegin = now;
         m_servers[slot].limit = limit_type{};
     }
     if (change == health_change::Ejected)
-        wakeAt(m_detector.nextDue().value_or(now));
+        wakeAt(m_detector.nextProbeAt().value_or(now));
     return change;
 }
 
@@ -287,8 +287,8 @@
     if (!m_nextWake || *m_nextWake > now)
         return;
     m_nextWake.reset();
-    (void)m_detector.takeDue(now);
-    if (const auto due = m_detector.nextDue())
+    (void)m_detector.startDueProbes(now);
+    if (const auto due = m_detector.nextProbeAt())
         wakeAt(*due);
     for (const server_entry &entry : m_servers) {
         if (entry.member && entry.backoffUntil > now)
@@ -421,14 +421,14 @@
 }
 
 template <class Policies>
-void service_pool<Policies>::expect(const customer_id &customer)
+void service_pool<Policies>::addExpected(const customer_id &customer)
 {
     ++m_expected;
     ++m_expectedOf[customer];
 }
 
 template <class Policies>
-void service_pool<Policies>::unexpect(const customer_id &customer)
+void service_pool<Policies>::removeExpected(const customer_id &customer)
 {
     const auto entry = m_expectedOf.find(customer);
     if (entry == m_expectedOf.end())
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -93,7 +93,7 @@
     node_hooks hooks;
     hooks.onDecision = [this](const auto &decision) { m_reporter.onDecision(decision); };
     hooks.onEnded = [this](const auto &ended) { m_reporter.onEnded(ended); };
-    hooks.onServerNews = [this](const server_news &news) { m_news.onTold(news); };
+    hooks.onServerNews = [this](const leaving_update &news) { m_news.onTold(news); };
     hooks.detectPause = [this] { m_control.detectPause(); };
     hooks.forward = [this](const forward_call &call) { m_peers.forward(call); };
     return hooks;
@@ -144,7 +144,7 @@
     events.send = [this](const socket_address &to, std::string_view bytes) {
         m_control.sendDatagram(datagram_kind::ServerNews, to, bytes);
     };
-    events.onHeard = [this](const server_news &news) { m_shell.onHeard(news); };
+    events.onHeard = [this](const leaving_update &news) { m_shell.onHeard(news); };
     return events;
 }
 
--- a/src/daemon/news_exchange.cpp
+++ b/src/daemon/news_exchange.cpp
@@ -24,7 +24,7 @@
     , m_news(clock)
 { }
 
-void news_exchange::onTold(const server_news &news)
+void news_exchange::onTold(const leaving_update &news)
 {
     if (!m_news.note(news))
         return;
@@ -52,7 +52,7 @@
     send(m_news.all(), newcomer);
 }
 
-void news_exchange::tellAll(const server_news &news)
+void news_exchange::tellAll(const leaving_update &news)
 {
     for (const auto &peer : m_events.members()) {
         if (peer.state != member_state::Dead)
@@ -60,7 +60,7 @@
     }
 }
 
-void news_exchange::send(const std::vector<server_news> &news, const member &to)
+void news_exchange::send(const std::vector<leaving_update> &news, const member &to)
 {
     if (to.vm.vm == m_self)
         return;
--- a/src/daemon/news_exchange.h
+++ b/src/daemon/news_exchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/servers/leaving_news.h"
+#include "core/servers/leaving_server_set.h"
 #include "net/event_loop.h"
 
 #include <orchidlead/clock.h>
@@ -19,7 +19,7 @@
 {
     std::function<const std::vector<member> &()> members;
     std::function<void(const socket_address &to, std::string_view bytes)> send; ///< may be lost
-    std::function<void(const server_news &)> onHeard; ///< new here, from a peer
+    std::function<void(const leaving_update &)> onHeard; ///< new here, from a peer
 };
 
 /// Tells the peers what backend servers say about leaving, and hears it from them.
@@ -32,20 +32,20 @@
                   news_exchange_events events);
 
     /// Takes what a backend server told this node.
-    void onTold(const server_news &news);
+    void onTold(const leaving_update &news);
     /// Takes a peer's datagram.
     void onDatagram(std::string_view bytes);
     /// Tells a member that has just come what it missed.
     void tellNewcomer(const member &newcomer);
 
 private:
-    void tellAll(const server_news &news);
-    void send(const std::vector<server_news> &news, const member &to);
+    void tellAll(const leaving_update &news);
+    void send(const std::vector<leaving_update> &news, const member &to);
 
     net::event_loop &m_loop;
     vm_id m_self;
     news_exchange_events m_events;
-    leaving_news m_news;
+    leaving_server_set m_news;
     std::shared_ptr<int> m_alive = std::make_shared<int>(0); ///< tells timers
 };
 
--- a/src/daemon/node_shell.cpp
+++ b/src/daemon/node_shell.cpp
@@ -87,7 +87,7 @@
     feed([&](node_actions &out) { m_node.onLoadReport(report, out); });
 }
 
-void node_shell::onHeard(const server_news &news)
+void node_shell::onHeard(const leaving_update &news)
 {
     load_report report;
     report.server = news.server;
--- a/src/daemon/node_shell.h
+++ b/src/daemon/node_shell.h
@@ -2,7 +2,7 @@
 
 #include "core/node/node.h"
 #include "core/node/node_control.h"
-#include "core/servers/leaving_news.h"
+#include "core/servers/leaving_server_set.h"
 #include "net/event_loop.h"
 #include "net/http_client.h"
 #include "wire/load_reader.h"
@@ -32,7 +32,7 @@
     std::function<void(const forward_call &)> forward;
     std::function<void(const end_request &)> onEnded;
     /// A backend server told this node whether it is leaving.
-    std::function<void(const server_news &)> onServerNews;
+    std::function<void(const leaving_update &)> onServerNews;
     /// Asked before anything is sent to a backend server; notices a pause of the process, which
     /// may call `setConfirmed(false)`.
     std::function<void()> detectPause;
@@ -77,7 +77,7 @@
     void setReading(const request_id &request, bool reading);
 
     /// Takes what a backend server told a peer.
-    void onHeard(const server_news &news);
+    void onHeard(const leaving_update &news);
     void setMembers(const members_updated &update);
     void setAdmission(admission_state state) { m_node.setAdmission(state); }
     /// Holds back what would be sent to backend servers until the configuration is confirmed.
--- a/src/wire/server_news_json.cpp
+++ b/src/wire/server_news_json.cpp
@@ -14,7 +14,7 @@
 constexpr const char *Back = "back";
 
 /// Gives the bytes that a name takes at most, with its escapes, quotes and comma.
-std::size_t roomFor(const server_news &news)
+std::size_t roomFor(const leaving_update &news)
 {
     constexpr std::size_t LongestEscape = 6;
     constexpr std::size_t QuotesAndComma = 3;
@@ -22,7 +22,7 @@
 }
 
 bool takeNames(const Json::Value &root, const char *name, bool leaving,
-               std::vector<server_news> &out)
+               std::vector<leaving_update> &out)
 {
     const Json::Value *names = findMember(root, name);
     if (names == nullptr)
@@ -39,7 +39,8 @@
 
 } // namespace
 
-std::vector<std::string> writeServerNews(const std::vector<server_news> &news, std::size_t maxBytes)
+std::vector<std::string> writeServerNews(const std::vector<leaving_update> &news,
+                                         std::size_t maxBytes)
 {
     constexpr std::size_t Frame = 32;
     std::vector<std::string> out;
@@ -59,12 +60,12 @@
     return out;
 }
 
-std::optional<std::vector<server_news>> readServerNews(std::string_view text)
+std::optional<std::vector<leaving_update>> readServerNews(std::string_view text)
 {
     const auto parsed = parseJson(text, {MaxDatagramBytes});
     if (!parsed || !parsed.value().isObject())
         return std::nullopt;
-    std::vector<server_news> out;
+    std::vector<leaving_update> out;
     if (!takeNames(parsed.value(), Leaving, true, out)
         || !takeNames(parsed.value(), Back, false, out))
         return std::nullopt;
--- a/src/wire/server_news_json.h
+++ b/src/wire/server_news_json.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/servers/leaving_news.h"
+#include "core/servers/leaving_server_set.h"
 
 #include <cstddef>
 #include <optional>
@@ -11,10 +11,10 @@
 namespace orchidlead::wire {
 
 /// Writes news as datagrams of at most `maxBytes` each: `{"leaving": ["r-1"], "back": ["r-2"]}`.
-[[nodiscard]] std::vector<std::string> writeServerNews(const std::vector<server_news> &news,
+[[nodiscard]] std::vector<std::string> writeServerNews(const std::vector<leaving_update> &news,
                                                        std::size_t maxBytes);
 
 /// Reads one datagram; nothing where it is of another form.
-[[nodiscard]] std::optional<std::vector<server_news>> readServerNews(std::string_view text);
+[[nodiscard]] std::optional<std::vector<leaving_update>> readServerNews(std::string_view text);
 
 } // namespace orchidlead::wire
--- a/tests/core/engine_random_test.cpp
+++ b/tests/core/engine_random_test.cpp
@@ -42,7 +42,7 @@
 
 struct always_repeats : at_most_once_guard
 {
-    static bool mayTryAgain(const stage_plan &, const attempt_end &) { return true; }
+    static bool mayRetry(const stage_plan &, const attempt_end &) { return true; }
 };
 
 struct always_hedges : at_most_once_guard
@@ -109,19 +109,19 @@
 
 TEST_CASE("without the repeat guard a non-repeatable call is retried")
 {
-    CHECK_THAT((firstViolation<unguarded_policies<echo_guard, always_repeats>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<echoed_key_guard, always_repeats>>()),
                Contains("second attempt of a call"));
 }
 
 TEST_CASE("without the hedging guard a non-repeatable call is hedged")
 {
-    CHECK_THAT((firstViolation<unguarded_policies<echo_guard, always_hedges>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<echoed_key_guard, always_hedges>>()),
                Contains("second attempt of a call"));
 }
 
 TEST_CASE("without the proof guard not_run is reported for calls that may have run")
 {
-    CHECK_THAT((firstViolation<unguarded_policies<echo_guard, assumes_not_run>>()),
+    CHECK_THAT((firstViolation<unguarded_policies<echoed_key_guard, assumes_not_run>>()),
                Contains("not_run although"));
 }
 
--- a/tests/core/failure_detector_test.cpp
+++ b/tests/core/failure_detector_test.cpp
@@ -33,8 +33,8 @@
     CHECK(failTimes(detector, 2, 2, Start) == health_change::None);
     CHECK(detector.onSuccess(2) == health_change::None);
     CHECK(failTimes(detector, 2, 3, Start) == health_change::Ejected);
-    CHECK(detector.takeDue(Start).empty());
-    CHECK(detector.takeDue(Start + milliseconds{1000}) == std::vector<std::uint32_t>{2});
+    CHECK(detector.startDueProbes(Start).empty());
+    CHECK(detector.startDueProbes(Start + milliseconds{1000}) == std::vector<std::uint32_t>{2});
     CHECK(detector.health(2) == server_health::Probing);
     CHECK(detector.onSuccess(2) == health_change::Restored);
     CHECK(detector.suspectedShare() == 0.0);
@@ -47,9 +47,9 @@
     steady_time now = Start;
     for (const int seconds : {1, 2, 4, 8, 16, 30, 30}) {
         CAPTURE(seconds);
-        REQUIRE(detector.nextDue() == now + std::chrono::seconds{seconds});
-        now = *detector.nextDue();
-        REQUIRE(detector.takeDue(now).size() == 1);
+        REQUIRE(detector.nextProbeAt() == now + std::chrono::seconds{seconds});
+        now = *detector.nextProbeAt();
+        REQUIRE(detector.startDueProbes(now).size() == 1);
         CHECK(detector.onFailure(0, now) == health_change::Ejected);
     }
 }
@@ -70,14 +70,15 @@
     failTimes(detector, 3, 3, Start);
     detector.setMember(3, false);
     CHECK(detector.suspectedShare() == 0.0);
-    CHECK_FALSE(detector.nextDue().has_value());
+    CHECK_FALSE(detector.nextProbeAt().has_value());
     CHECK(detector.onFailure(3, Start) == health_change::None);
 }
 
 TEST_CASE("the risk-aware threshold is shorter with less slack and with more suspected servers")
 {
-    const risk_aware_silence_threshold threshold;
-    silence_view view{microseconds{50'000}, microseconds{100'000}, microseconds{10'000'000}, 0.0};
+    const risk_aware_suspicion_timeout threshold;
+    suspicion_input view{microseconds{50'000}, microseconds{100'000}, microseconds{10'000'000},
+                         0.0};
     const microseconds relaxed = threshold.after(view);
     view.suspectedShare = 0.3;
     const microseconds moreSuspected = threshold.after(view);
--- a/tests/core/leaving_news_test.cpp
+++ b/tests/core/leaving_server_set_test.cpp
@@ -1,4 +1,4 @@
-#include "core/servers/leaving_news.h"
+#include "core/servers/leaving_server_set.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,16 +12,16 @@
 TEST_CASE("a leaving server is a new change only once")
 {
     manual_clock clock;
-    leaving_news servers(clock);
+    leaving_server_set servers(clock);
     CHECK(servers.note({Server, true}));
     CHECK_FALSE(servers.note({Server, true}));
-    CHECK(servers.all() == std::vector<server_news>{{Server, true}});
+    CHECK(servers.all() == std::vector<leaving_update>{{Server, true}});
 }
 
 TEST_CASE("a lagging load report does not override the server's statement that it is leaving")
 {
     manual_clock clock;
-    leaving_news servers(clock);
+    leaving_server_set servers(clock);
     CHECK(servers.note({Server, true}));
     clock.advance(milliseconds{2000});
     CHECK_FALSE(servers.note({Server, false}));
@@ -34,6 +34,6 @@
 TEST_CASE("a server that accepts work is not a change unless it was leaving")
 {
     manual_clock clock;
-    leaving_news servers(clock);
+    leaving_server_set servers(clock);
     CHECK_FALSE(servers.note({Server, false}));
 }
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -137,7 +137,7 @@
 {
     fake_pool pool(4, 4);
     const steady_time restoredAt{std::chrono::hours{2}};
-    pool.entries[0].returnedAt = restoredAt;
+    pool.entries[0].slowStartBegin = restoredAt;
     load_router router{routing_settings{}};
     routing_request request;
     request.now = restoredAt + milliseconds{500};
--- a/tests/standins/unguarded.cmake
+++ b/tests/standins/unguarded.cmake
@@ -22,16 +22,16 @@
 endfunction()
 
 orchidlead_unguarded(answer-guard src/core/requests/default_engine_policies.h
-  "struct default_engine_policies\n{\n    using answers = echo_guard;"
+  "struct default_engine_policies\n{\n    using answers = echoed_key_guard;"
   "struct any_answer\n{\n    static bool accepts(const attempt_key &, const attempt_key &) { return true; }\n};\nstruct default_engine_policies\n{\n    using answers = any_answer;"
   src/core/requests/request_engine.cpp)
 orchidlead_unguarded(repeat-guard src/core/requests/default_engine_policies.h
-  "struct default_engine_policies\n{\n    using answers = echo_guard;\n    using repeats = at_most_once_guard;"
-  "struct always_repeat : at_most_once_guard\n{\n    static bool mayTryAgain(const stage_plan &, const attempt_end &) { return true; }\n};\nstruct default_engine_policies\n{\n    using answers = echo_guard;\n    using repeats = always_repeat;"
+  "struct default_engine_policies\n{\n    using answers = echoed_key_guard;\n    using repeats = at_most_once_guard;"
+  "struct always_repeat : at_most_once_guard\n{\n    static bool mayRetry(const stage_plan &, const attempt_end &) { return true; }\n};\nstruct default_engine_policies\n{\n    using answers = echoed_key_guard;\n    using repeats = always_repeat;"
   src/core/requests/request_engine.cpp)
 orchidlead_unguarded(not-run-guard src/core/requests/default_engine_policies.h
-  "struct default_engine_policies\n{\n    using answers = echo_guard;\n    using repeats = at_most_once_guard;"
-  "struct proves_anything : at_most_once_guard\n{\n    static bool mayTryAgain(const stage_plan &, const attempt_end &) { return false; }\n    static bool provesNotRun(const attempt_end &) { return true; }\n};\nstruct default_engine_policies\n{\n    using answers = echo_guard;\n    using repeats = proves_anything;"
+  "struct default_engine_policies\n{\n    using answers = echoed_key_guard;\n    using repeats = at_most_once_guard;"
+  "struct proves_anything : at_most_once_guard\n{\n    static bool mayRetry(const stage_plan &, const attempt_end &) { return false; }\n    static bool provesNotRun(const attempt_end &) { return true; }\n};\nstruct default_engine_policies\n{\n    using answers = echoed_key_guard;\n    using repeats = proves_anything;"
   src/core/requests/request_engine.cpp)
 orchidlead_unguarded(ticket-guard include/orchidlead/at_most_once_guards.h
   "TicketRunsOnce = true" "TicketRunsOnce = false"
--- a/tests/wire/server_news_json_test.cpp
+++ b/tests/wire/server_news_json_test.cpp
@@ -11,10 +11,10 @@
 TEST_CASE("news of many servers fit datagrams and come back whole")
 {
     constexpr std::size_t MaxBytes = 1100;
-    std::vector<server_news> news;
+    std::vector<leaving_update> news;
     for (int count = 0; count < 200; ++count)
         news.push_back({backend_server_id{"runner-\"" + std::to_string(count)}, count % 3 != 0});
-    std::vector<server_news> back;
+    std::vector<leaving_update> back;
     for (const auto &datagram : writeServerNews(news, MaxBytes)) {
         CHECK(datagram.size() <= MaxBytes);
         const auto read = readServerNews(datagram);
