--- a/examples/configuration_keeper_example.cpp
+++ b/examples/configuration_manager_example.cpp
@@ -3,14 +3,14 @@
 
 #include "claims.h"
 
-#include <orchidlead/configuration_keeper.h>
+#include <orchidlead/configuration_manager.h>
 
 using namespace orchidlead;
 using namespace std::chrono_literals;
 
 namespace {
 
-using text_keeper = configuration_keeper<std::string>; // a real program uses its own type
+using text_keeper = configuration_manager<std::string>; // a real program uses its own type
 using text_actions = text_keeper::actions;
 
 /// Stands in for the configuration service.
@@ -70,15 +70,15 @@
             answer(*call, service, out);
         if (std::holds_alternative<fetch_from_peer>(action))
             keeper.onPeerContent(peer.vm, peer.version(), peer.keeper.content(), out);
-        if (std::holds_alternative<ask_peers>(action))
+        if (std::holds_alternative<probe_peers>(action))
             keeper.onPeerVersion(peer.vm, peer.keeper.stamp(), clock.now(), out);
         if (const auto *adopted = std::get_if<adopt_configuration<std::string>>(&action)) {
             std::cout << vm.value << " adopts a configuration from the " << toName(adopted->source)
                       << '\n';
             source = adopted->source;
         }
-        if (const auto *report = std::get_if<keeper_report>(&action))
-            serviceWasStale |= report->event == keeper_event::StaleService;
+        if (const auto *report = std::get_if<configuration_event_report>(&action))
+            serviceWasStale |= report->event == configuration_event::StaleService;
     }
 
     const clock_source &clock;
--- a/include/orchidlead/configuration_keeper.h
+++ b/include/orchidlead/configuration_manager.h
@@ -51,7 +51,7 @@
                                            std::uint64_t version);
 
 /// Settings of a configuration keeper.
-struct keeper_options
+struct configuration_manager_options
 {
     listed_vm self;
     std::uint64_t seed = 0;
@@ -61,7 +61,7 @@
     /// Time after which an unconfirmed node may serve without enough answers.
     milliseconds confirmTimeout{2000};
     milliseconds probeInterval{250}; ///< between probes while unconfirmed
-    milliseconds watchTime{30000}; ///< of one long poll
+    milliseconds longPollWait{30000}; ///< of one long poll
     milliseconds answerTimeout{5000}; ///< of a service call, beyond its wait time
     milliseconds minReadInterval{500}; ///< between the starts of two service calls
     milliseconds maxBackoff{2000}; ///< after failed service calls
@@ -84,7 +84,7 @@
 };
 
 /// Events that a keeper reports to operators.
-enum class keeper_event {
+enum class configuration_event {
     StaleService, ///< the service offered a lower version; ignored
     VersionConflict, ///< one version with two contents; the greater hash wins
     ContentMismatch, ///< a peer sent a lower stamp than announced
@@ -95,14 +95,14 @@
 };
 
 template <>
-inline constexpr std::array enumNames<keeper_event>{
-    enum_name<keeper_event>{keeper_event::StaleService, "stale_service"},
-    enum_name<keeper_event>{keeper_event::VersionConflict, "version_conflict"},
-    enum_name<keeper_event>{keeper_event::ContentMismatch, "content_mismatch"},
-    enum_name<keeper_event>{keeper_event::ServiceFailed, "service_failed"},
-    enum_name<keeper_event>{keeper_event::ServiceRecovered, "service_back"},
-    enum_name<keeper_event>{keeper_event::Confirmed, "confirmed"},
-    enum_name<keeper_event>{keeper_event::ConfirmTimedOut, "confirmed_alone"},
+inline constexpr std::array enumNames<configuration_event>{
+    enum_name<configuration_event>{configuration_event::StaleService, "stale_service"},
+    enum_name<configuration_event>{configuration_event::VersionConflict, "version_conflict"},
+    enum_name<configuration_event>{configuration_event::ContentMismatch, "content_mismatch"},
+    enum_name<configuration_event>{configuration_event::ServiceFailed, "service_failed"},
+    enum_name<configuration_event>{configuration_event::ServiceRecovered, "service_back"},
+    enum_name<configuration_event>{configuration_event::Confirmed, "confirmed"},
+    enum_name<configuration_event>{configuration_event::ConfirmTimedOut, "confirmed_alone"},
 };
 
 using service_call_id = std::uint64_t;
@@ -126,7 +126,7 @@
 };
 
 /// Action: probe `count` peers at once (`membership::probeNow`); their answers carry stamps.
-struct ask_peers
+struct probe_peers
 {
     std::size_t count = 0;
 };
@@ -152,9 +152,9 @@
 };
 
 /// Action: log and count an event.
-struct keeper_report
+struct configuration_event_report
 {
-    keeper_event event = keeper_event::Confirmed;
+    configuration_event event = configuration_event::Confirmed;
     configuration_stamp stamp; ///< offered or in force
 };
 
@@ -162,7 +162,7 @@
 /// probed its peers.
 ///
 /// Tests use weaker policies to show which faults each guard prevents.
-struct forward_only_policy
+struct monotonic_version_policy
 {
     /// Returns whether `offered` may replace `current`.
     [[nodiscard]] static bool supersedes(const configuration_stamp &offered,
@@ -175,20 +175,21 @@
 };
 
 /// Decides which configuration is in force. Performs no I/O: inputs append actions to `out`.
-template <class Configuration, class Policy = forward_only_policy>
-class configuration_keeper
+template <class Configuration, class Policy = monotonic_version_policy>
+class configuration_manager
 {
 public:
     using configuration_ptr = std::shared_ptr<const Configuration>;
     using validator = std::function<result<configuration_ptr, std::vector<std::string>>(
         std::uint64_t version, std::string_view content)>;
-    using action =
-        std::variant<fetch_from_service, fetch_from_peer, ask_peers,
-                     adopt_configuration<Configuration>, reject_configuration, keeper_report>;
+    using action = std::variant<fetch_from_service, fetch_from_peer, probe_peers,
+                                adopt_configuration<Configuration>, reject_configuration,
+                                configuration_event_report>;
     using actions = std::vector<action>;
 
     /// `validate` must be deterministic, so that all nodes accept and reject the same contents.
-    configuration_keeper(const clock_source &clock, keeper_options options, validator validate);
+    configuration_manager(const clock_source &clock, configuration_manager_options options,
+                          validator validate);
 
     /// Sets the current members; call on every membership change.
     void setMembers(std::vector<member> members)
@@ -220,8 +221,8 @@
     [[nodiscard]] const std::string &content() const { return m_content; }
     /// True if a configuration is in force and no confirmation is pending after the start or the
     /// last pause.
-    [[nodiscard]] bool readyToServe() const { return m_current && !mustReconfirm(); }
-    [[nodiscard]] bool mustReconfirm() const
+    [[nodiscard]] bool readyToServe() const { return m_current && !needsConfirmation(); }
+    [[nodiscard]] bool needsConfirmation() const
     {
         return Policy::ConfirmBeforeServing && m_confirmation.has_value();
     }
@@ -285,7 +286,7 @@
     [[nodiscard]] bool shouldReadService() const;
 
     const clock_source &m_clock;
-    keeper_options m_options;
+    configuration_manager_options m_options;
     validator m_validate;
     std::mt19937_64 m_random;
     std::vector<member> m_members;
@@ -309,9 +310,8 @@
 };
 
 template <class Configuration, class Policy>
-configuration_keeper<Configuration, Policy>::configuration_keeper(const clock_source &clock,
-                                                                  keeper_options options,
-                                                                  validator validate)
+configuration_manager<Configuration, Policy>::configuration_manager(
+    const clock_source &clock, configuration_manager_options options, validator validate)
     : m_clock(clock)
     , m_options(std::move(options))
     , m_validate(std::move(validate))
@@ -323,7 +323,7 @@
 // The answer to a watch from before the pause may be outdated. The watch is abandoned, and the next
 // call reads at once.
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onPaused(actions &out)
+void configuration_manager<Configuration, Policy>::onPaused(actions &out)
 {
     m_confirmation = confirmation{m_clock.now(), m_clock.now(), {}, false};
     m_serviceCall.reset();
@@ -334,7 +334,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::tick(actions &out)
+void configuration_manager<Configuration, Policy>::tick(actions &out)
 {
     const auto now = m_clock.now();
     if (m_serviceCall
@@ -345,7 +345,7 @@
     if (m_confirmation && now >= m_confirmation->nextProbe) {
         m_confirmation->nextProbe = now + m_options.probeInterval;
         if (alivePeers() > 0 || !m_members.empty())
-            out.push_back(ask_peers{m_options.confirmPeers});
+            out.push_back(probe_peers{m_options.confirmPeers});
     }
     startPeerFetch(out);
     confirm(out);
@@ -357,7 +357,7 @@
 // unconfirmed and has no alive peer. While unconfirmed, it first waits half of the confirmation
 // timeout for its peers.
 template <class Configuration, class Policy>
-bool configuration_keeper<Configuration, Policy>::shouldReadService() const
+bool configuration_manager<Configuration, Policy>::shouldReadService() const
 {
     if (isReader())
         return true;
@@ -368,7 +368,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::startServiceCall(actions &out)
+void configuration_manager<Configuration, Policy>::startServiceCall(actions &out)
 {
     const auto now = m_clock.now();
     fetch_from_service fetch;
@@ -377,7 +377,7 @@
     // one over and over.
     if (!m_readAtOnce) {
         fetch.after = std::max(m_stamp.version, m_serviceVersion);
-        fetch.wait = m_options.watchTime;
+        fetch.wait = m_options.longPollWait;
     }
     m_serviceCall = service_call{fetch.call, now, fetch.wait};
     m_nextServiceCall = now + m_options.minReadInterval;
@@ -385,8 +385,8 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::endServiceCall(service_call_id call,
-                                                                 bool answered, actions &out)
+void configuration_manager<Configuration, Policy>::endServiceCall(service_call_id call,
+                                                                  bool answered, actions &out)
 {
     if (!m_serviceCall || m_serviceCall->id != call)
         return;
@@ -394,7 +394,8 @@
     m_serviceCall.reset();
     if (answered) {
         if (m_serviceFailures > 0)
-            out.push_back(keeper_report{keeper_event::ServiceRecovered, m_stamp});
+            out.push_back(
+                configuration_event_report{configuration_event::ServiceRecovered, m_stamp});
         m_serviceFailures = 0;
         m_readAtOnce = false;
         if (m_confirmation && startedAt >= m_confirmation->since)
@@ -402,7 +403,7 @@
         return;
     }
     if (m_serviceFailures == 0)
-        out.push_back(keeper_report{keeper_event::ServiceFailed, m_stamp});
+        out.push_back(configuration_event_report{configuration_event::ServiceFailed, m_stamp});
     m_serviceFailures = std::min(m_serviceFailures + 1, 16U);
     m_readAtOnce = true;
     // Random delay (jitter) below a bound that doubles with every second failure: otherwise the
@@ -415,9 +416,9 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onServiceRead(service_call_id call,
-                                                                std::uint64_t version,
-                                                                std::string content, actions &out)
+void configuration_manager<Configuration, Policy>::onServiceRead(service_call_id call,
+                                                                 std::uint64_t version,
+                                                                 std::string content, actions &out)
 {
     endServiceCall(call, true, out);
     m_serviceVersion = std::max(m_serviceVersion, version);
@@ -426,25 +427,25 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onServiceUnchanged(service_call_id call,
-                                                                     actions &out)
+void configuration_manager<Configuration, Policy>::onServiceUnchanged(service_call_id call,
+                                                                      actions &out)
 {
     endServiceCall(call, true, out);
     tick(out);
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onServiceFailed(service_call_id call,
-                                                                  actions &out)
+void configuration_manager<Configuration, Policy>::onServiceFailed(service_call_id call,
+                                                                   actions &out)
 {
     endServiceCall(call, false, out);
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::processContent(std::uint64_t version,
-                                                                 std::string content,
-                                                                 configuration_source source,
-                                                                 const vm_id &from, actions &out)
+void configuration_manager<Configuration, Policy>::processContent(std::uint64_t version,
+                                                                  std::string content,
+                                                                  configuration_source source,
+                                                                  const vm_id &from, actions &out)
 {
     if (version == 0)
         return;
@@ -465,20 +466,20 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::reportStaleOrConflict(
+void configuration_manager<Configuration, Policy>::reportStaleOrConflict(
     const configuration_stamp &offered, configuration_source source, actions &out)
 {
     if (offered.version == m_stamp.version)
-        out.push_back(keeper_report{keeper_event::VersionConflict, offered});
+        out.push_back(configuration_event_report{configuration_event::VersionConflict, offered});
     else if (source == configuration_source::Service)
-        out.push_back(keeper_report{keeper_event::StaleService, offered});
+        out.push_back(configuration_event_report{configuration_event::StaleService, offered});
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::reject(const configuration_stamp &offered,
-                                                         configuration_source source,
-                                                         std::vector<std::string> errors,
-                                                         actions &out)
+void configuration_manager<Configuration, Policy>::reject(const configuration_stamp &offered,
+                                                          configuration_source source,
+                                                          std::vector<std::string> errors,
+                                                          actions &out)
 {
     m_rejected.push_back(offered);
     if (m_rejected.size() > m_options.maxRejected)
@@ -492,11 +493,11 @@
 // whole data centre. If nodes that got it from a local peer announced it too, the number of
 // messages would grow with the square of the members.
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::adopt(const configuration_stamp &offered,
-                                                        configuration_ptr configuration,
-                                                        std::string content,
-                                                        configuration_source source,
-                                                        const vm_id &from, actions &out)
+void configuration_manager<Configuration, Policy>::adopt(const configuration_stamp &offered,
+                                                         configuration_ptr configuration,
+                                                         std::string content,
+                                                         configuration_source source,
+                                                         const vm_id &from, actions &out)
 {
     m_stamp = offered;
     m_current = std::move(configuration);
@@ -509,7 +510,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onPeerVersion(
+void configuration_manager<Configuration, Policy>::onPeerVersion(
     const vm_id &vm, const configuration_stamp &stamp, std::optional<steady_time> probeSentAt,
     actions &out)
 {
@@ -534,7 +535,7 @@
 // parent does not have the content, the node fetches from any holder. An unconfirmed node, which
 // may not serve yet, fetches from any holder at once.
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::scheduleFetch()
+void configuration_manager<Configuration, Policy>::scheduleFetch()
 {
     if (m_confirmation)
         return;
@@ -548,7 +549,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::startPeerFetch(actions &out)
+void configuration_manager<Configuration, Policy>::startPeerFetch(actions &out)
 {
     if (!m_announced || m_announced->holders.empty() || m_clock.now() < m_announced->notBefore)
         return;
@@ -569,9 +570,9 @@
 // A peer may have put a higher version in force since its announcement; that version is accepted
 // too. Content with a lower stamp than the announced one is dropped.
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onPeerContent(const vm_id &vm,
-                                                                std::uint64_t version,
-                                                                std::string content, actions &out)
+void configuration_manager<Configuration, Policy>::onPeerContent(const vm_id &vm,
+                                                                 std::uint64_t version,
+                                                                 std::string content, actions &out)
 {
     if (!m_peerFetch || m_peerFetch->vm != vm)
         return;
@@ -579,7 +580,8 @@
     const configuration_stamp offered{version, configurationHash(content)};
     if (offered < expected) {
         if (isHolder(vm))
-            out.push_back(keeper_report{keeper_event::ContentMismatch, offered});
+            out.push_back(
+                configuration_event_report{configuration_event::ContentMismatch, offered});
         return onPeerFailed(vm, out);
     }
     m_peerFetch.reset();
@@ -589,7 +591,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::onPeerFailed(const vm_id &vm, actions &out)
+void configuration_manager<Configuration, Policy>::onPeerFailed(const vm_id &vm, actions &out)
 {
     if (!m_peerFetch || m_peerFetch->vm != vm)
         return;
@@ -599,7 +601,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::dropHolder(const vm_id &vm)
+void configuration_manager<Configuration, Policy>::dropHolder(const vm_id &vm)
 {
     if (!m_announced)
         return;
@@ -612,7 +614,7 @@
 // confirm. After the timeout the node is assumed to be cut off and serves the configuration in
 // force. An announced higher version must be fetched first.
 template <class Configuration, class Policy>
-void configuration_keeper<Configuration, Policy>::confirm(actions &out)
+void configuration_manager<Configuration, Policy>::confirm(actions &out)
 {
     if (!m_confirmation || !m_current || m_announced)
         return;
@@ -624,12 +626,13 @@
         return;
     const bool anyAnswer = !m_confirmation->answered.empty() || m_confirmation->serviceAnswered;
     m_confirmation.reset();
-    out.push_back(keeper_report{anyAnswer ? keeper_event::Confirmed : keeper_event::ConfirmTimedOut,
-                                m_stamp});
+    out.push_back(configuration_event_report{anyAnswer ? configuration_event::Confirmed
+                                                       : configuration_event::ConfirmTimedOut,
+                                             m_stamp});
 }
 
 template <class Configuration, class Policy>
-std::size_t configuration_keeper<Configuration, Policy>::alivePeers() const
+std::size_t configuration_manager<Configuration, Policy>::alivePeers() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_members.begin(), m_members.end(), [this](const member &candidate) {
@@ -640,7 +643,7 @@
 // Includes members that have not sent anything yet. Otherwise a new node would need only the first
 // answer, which may come from another new node.
 template <class Configuration, class Policy>
-std::size_t configuration_keeper<Configuration, Policy>::nonDeadPeers() const
+std::size_t configuration_manager<Configuration, Policy>::nonDeadPeers() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_members.begin(), m_members.end(), [this](const member &candidate) {
@@ -651,13 +654,13 @@
 // A node that has not received the VM list has no peers either, and the service may be stale. The
 // answer of the service therefore suffices only if the VM list holds this node and no other.
 template <class Configuration, class Policy>
-bool configuration_keeper<Configuration, Policy>::isOnlyListedNode() const
+bool configuration_manager<Configuration, Policy>::isOnlyListedNode() const
 {
     return m_members.size() == 1 && m_members.front().listed;
 }
 
 template <class Configuration, class Policy>
-bool configuration_keeper<Configuration, Policy>::isInOtherDataCenter(const vm_id &vm) const
+bool configuration_manager<Configuration, Policy>::isInOtherDataCenter(const vm_id &vm) const
 {
     for (const member &candidate : m_members) {
         if (candidate.vm.vm == vm)
@@ -667,7 +670,7 @@
 }
 
 template <class Configuration, class Policy>
-bool configuration_keeper<Configuration, Policy>::isHolder(const vm_id &vm) const
+bool configuration_manager<Configuration, Policy>::isHolder(const vm_id &vm) const
 {
     return m_announced
         && std::find(m_announced->holders.begin(), m_announced->holders.end(), vm)
@@ -675,7 +678,8 @@
 }
 
 template <class Configuration, class Policy>
-bool configuration_keeper<Configuration, Policy>::isRejected(const configuration_stamp &stamp) const
+bool configuration_manager<Configuration, Policy>::isRejected(
+    const configuration_stamp &stamp) const
 {
     return std::find(m_rejected.begin(), m_rejected.end(), stamp) != m_rejected.end();
 }
--- a/src/core/configuration/configuration_keeper.cpp
+++ b/src/core/configuration/configuration_manager.cpp
@@ -1,4 +1,4 @@
-#include <orchidlead/configuration_keeper.h>
+#include <orchidlead/configuration_manager.h>
 #include <orchidlead/rendezvous.h>
 
 #include <xxhash.h>
--- a/src/core/node/node_control.cpp
+++ b/src/core/node/node_control.cpp
@@ -140,7 +140,7 @@
 {
     for (auto &action : actions) {
         std::visit(overloaded{
-                       [&](const ask_peers &ask) {
+                       [&](const probe_peers &ask) {
                            feedMembers([&](auto &next) { m_members.probeNow(ask.count, next); },
                                        out);
                        },
--- a/src/core/node/node_control.h
+++ b/src/core/node/node_control.h
@@ -3,7 +3,7 @@
 #include "core/configuration/published_configuration.h"
 
 #include <orchidlead/clock.h>
-#include <orchidlead/configuration_keeper.h>
+#include <orchidlead/configuration_manager.h>
 #include <orchidlead/ids.h>
 #include <orchidlead/membership.h>
 
@@ -15,7 +15,7 @@
 
 namespace orchidlead {
 
-using published_keeper = configuration_keeper<published_configuration>;
+using published_keeper = configuration_manager<published_configuration>;
 
 /// Action: the members changed, or the platform confirmed its list again.
 struct members_updated
@@ -27,14 +27,14 @@
 using control_action =
     std::variant<gossip_datagram, member_changed, paused, superseded, members_updated,
                  fetch_from_service, fetch_from_peer, adopt_configuration<published_configuration>,
-                 reject_configuration, keeper_report>;
+                 reject_configuration, configuration_event_report>;
 using control_actions = std::vector<control_action>;
 
 /// Settings of `node_control`.
 struct control_options
 {
     membership_options members;
-    keeper_options keeper;
+    configuration_manager_options keeper;
 };
 
 /// Connects membership and the configuration keeper: reports from gossip go to the keeper, and the
--- a/src/daemon/control_shell.cpp
+++ b/src/daemon/control_shell.cpp
@@ -163,7 +163,7 @@
     m_events.onRefused(action);
 }
 
-void control_shell::perform(const keeper_report &action)
+void control_shell::perform(const configuration_event_report &action)
 {
     m_events.onKeeperReport(action);
 }
--- a/src/daemon/control_shell.h
+++ b/src/daemon/control_shell.h
@@ -38,7 +38,7 @@
 {
     std::function<void(const adopt_configuration<published_configuration> &)> onConfiguration;
     std::function<void(const reject_configuration &)> onRefused;
-    std::function<void(const keeper_report &)> onKeeperReport;
+    std::function<void(const configuration_event_report &)> onKeeperReport;
     std::function<void(const members_updated &)> onMembers;
     std::function<void(const member_changed &)> onMemberChanged;
     std::function<void(const paused &)> onPaused;
@@ -82,7 +82,7 @@
     void perform(const fetch_from_service &action);
     void perform(const adopt_configuration<published_configuration> &action);
     void perform(const reject_configuration &action);
-    void perform(const keeper_report &action);
+    void perform(const configuration_event_report &action);
     void perform(const members_updated &action);
     void perform(const member_changed &action);
     void perform(const paused &action);
--- a/src/daemon/daemon_options.cpp
+++ b/src/daemon/daemon_options.cpp
@@ -38,13 +38,13 @@
     return options;
 }
 
-keeper_options keeperOptions(const process_settings &settings, incarnation start)
+configuration_manager_options keeperOptions(const process_settings &settings, incarnation start)
 {
-    keeper_options options;
+    configuration_manager_options options;
     options.self = selfOf(settings);
     options.seed = start;
     options.readersPerDataCenter = settings.platform.readersPerDataCenter;
-    options.watchTime = settings.platform.readWait;
+    options.longPollWait = settings.platform.readWait;
     options.minReadInterval = settings.platform.minReadInterval;
     options.maxBackoff = settings.platform.maxBackoff;
     return options;
--- a/src/daemon/reporter.cpp
+++ b/src/daemon/reporter.cpp
@@ -73,7 +73,7 @@
     m_log.write(log_level::Error, node_event::ConfigurationRefused, detail);
 }
 
-void reporter::onKeeperReport(const keeper_report &report)
+void reporter::onKeeperReport(const configuration_event_report &report)
 {
     m_log.write(log_level::Info, node_event::ConfigurationReport,
                 std::string(toName(report.event)) + " " + stampText(report.stamp));
--- a/tests/core/configuration_keeper_test.cpp
+++ b/tests/core/configuration_manager_test.cpp
@@ -1,6 +1,6 @@
 #include "core/control_fake_network.h"
 
-#include <orchidlead/configuration_keeper.h>
+#include <orchidlead/configuration_manager.h>
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-using text_keeper = configuration_keeper<text_configuration>;
+using text_keeper = configuration_manager<text_configuration>;
 
 listed_vm makeVm(const std::string &name, const std::string &dataCenter = "dc-1")
 {
@@ -40,7 +40,7 @@
 {
     explicit keeper_fixture(std::vector<member> members = {makeMember("vm-1")})
     {
-        keeper_options options;
+        configuration_manager_options options;
         options.self = makeVm("vm-1");
         keeper = std::make_unique<Keeper>(clock, options, parseText);
         keeper->setMembers(std::move(members));
@@ -58,9 +58,9 @@
         return found;
     }
 
-    bool reported(keeper_event event)
+    bool reported(configuration_event event)
     {
-        for (const auto &report : actionsOf<keeper_report>()) {
+        for (const auto &report : actionsOf<configuration_event_report>()) {
             if (report.event == event)
                 return true;
         }
@@ -120,7 +120,7 @@
     node.adoptAndConfirm(12, "twelve");
     node.answerServiceCall(9, "nine");
     CHECK(node.keeper->stamp().version == 12);
-    CHECK(node.reported(keeper_event::StaleService));
+    CHECK(node.reported(configuration_event::StaleService));
 }
 
 TEST_CASE(
@@ -148,17 +148,17 @@
     keeper_fixture<> other;
     one.adoptAndConfirm(5, "left");
     one.answerServiceCall(5, "right");
-    CHECK(one.reported(keeper_event::VersionConflict));
+    CHECK(one.reported(configuration_event::VersionConflict));
     other.adoptAndConfirm(5, "right");
     other.answerServiceCall(5, "left");
-    CHECK(other.reported(keeper_event::VersionConflict));
+    CHECK(other.reported(configuration_event::VersionConflict));
     CHECK(one.keeper->stamp() == other.keeper->stamp());
 }
 
 TEST_CASE("a new node with a stale service serves only after adopting the version of a peer")
 {
     keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
-    REQUIRE_FALSE(node.actionsOf<ask_peers>().empty());
+    REQUIRE_FALSE(node.actionsOf<probe_peers>().empty());
     node.answerServiceCall(9, "nine");
     CHECK_FALSE(node.keeper->readyToServe());
     node.out.clear();
@@ -190,7 +190,7 @@
 
 TEST_CASE("without the guard a new node serves the version of a stale service")
 {
-    keeper_fixture<configuration_keeper<text_configuration, trusting_policy>> node(
+    keeper_fixture<configuration_manager<text_configuration, unchecked_policy>> node(
         {makeMember("vm-1"), makeMember("vm-2")});
     node.answerServiceCall(12, "twelve");
     node.answerServiceCall(9, "nine");
@@ -210,14 +210,14 @@
     node.clock.advance(10s);
     node.out.clear();
     node.keeper->onPaused(node.out);
-    CHECK(node.keeper->mustReconfirm());
-    CHECK_FALSE(node.actionsOf<ask_peers>().empty());
+    CHECK(node.keeper->needsConfirmation());
+    CHECK_FALSE(node.actionsOf<probe_peers>().empty());
     node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), firstProbeSentAt, node.out);
     node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), std::nullopt, node.out);
-    CHECK(node.keeper->mustReconfirm());
+    CHECK(node.keeper->needsConfirmation());
     node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(13, "thirteen"), node.clock.now(),
                                node.out);
-    CHECK(node.keeper->mustReconfirm());
+    CHECK(node.keeper->needsConfirmation());
     node.keeper->onPeerContent(vm_id{"vm-2"}, 13, "thirteen", node.out);
     CHECK(node.keeper->readyToServe());
 }
@@ -231,7 +231,7 @@
     CHECK_FALSE(node.keeper->readyToServe());
     node.advanceTime(200ms);
     CHECK(node.keeper->readyToServe());
-    CHECK(node.reported(keeper_event::ConfirmTimedOut));
+    CHECK(node.reported(configuration_event::ConfirmTimedOut));
 }
 
 TEST_CASE("a peer that sends a lower version than announced is replaced by another holder")
@@ -243,7 +243,7 @@
     REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     node.out.clear();
     node.keeper->onPeerContent(vm_id{"vm-2"}, 11, "eleven", node.out);
-    CHECK(node.reported(keeper_event::ContentMismatch));
+    CHECK(node.reported(configuration_event::ContentMismatch));
     REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     CHECK(node.actionsOf<fetch_from_peer>()[0].vm == vm_id{"vm-3"});
     node.out.clear();
@@ -331,7 +331,7 @@
     std::vector<member> members;
     for (int i = 0; i < 5; ++i)
         members.push_back(makeMember("vm-" + std::to_string(i)));
-    keeper_options options;
+    configuration_manager_options options;
     std::optional<fetch_position> position;
     for (const auto &one : members) {
         const auto found = fetchPosition(one.vm, members, 3, 2, 2);
--- a/tests/core/control_fake_network.h
+++ b/tests/core/control_fake_network.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <orchidlead/clock.h>
-#include <orchidlead/configuration_keeper.h>
+#include <orchidlead/configuration_manager.h>
 #include <orchidlead/membership.h>
 
 #include <cstdint>
@@ -32,7 +32,7 @@
 
 /// Accepts every offered version, as a plain cache of the service would, to show what the guards
 /// prevent.
-struct trusting_policy
+struct unchecked_policy
 {
     static bool supersedes(const configuration_stamp &offered, const configuration_stamp &current)
     {
@@ -46,16 +46,16 @@
 {
     double loss = 0;
     double duplication = 0;
-    milliseconds leastDelay{1};
-    milliseconds mostDelay{3}; ///< random delays reorder datagrams
+    milliseconds minDelay{1};
+    milliseconds maxDelay{3}; ///< random delays reorder datagrams
 };
 
 /// Runs the membership and the configuration keeper of many nodes against each other.
-template <class Policy = forward_only_policy>
+template <class Policy = monotonic_version_policy>
 class control_fake_network
 {
 public:
-    using keeper_type = configuration_keeper<text_configuration, Policy>;
+    using keeper_type = configuration_manager<text_configuration, Policy>;
 
     struct node
     {
@@ -115,7 +115,7 @@
         options.incarnation = started.incarnation;
         options.seed = m_random();
         started.members = std::make_unique<membership>(clock, options);
-        keeper_options keeperOptions;
+        configuration_manager_options keeperOptions;
         keeperOptions.self = started.vm;
         keeperOptions.seed = m_random();
         started.keeper = std::make_unique<keeper_type>(clock, keeperOptions, parseText);
@@ -385,9 +385,9 @@
         carryOut(index, out);
     }
     void handle(std::size_t, const reject_configuration &) { }
-    void handle(std::size_t, const keeper_report &) { }
+    void handle(std::size_t, const configuration_event_report &) { }
 
-    void handle(std::size_t index, const ask_peers &ask)
+    void handle(std::size_t index, const probe_peers &ask)
     {
         membership_actions out;
         at(index).members->probeNow(ask.count, out);
@@ -492,8 +492,8 @@
     }
     milliseconds delay()
     {
-        std::uniform_int_distribution<std::int64_t> spread(faults.leastDelay.count(),
-                                                           faults.mostDelay.count());
+        std::uniform_int_distribution<std::int64_t> spread(faults.minDelay.count(),
+                                                           faults.maxDelay.count());
         return milliseconds{spread(m_random)};
     }
 
--- a/tests/core/control_plane_test.cpp
+++ b/tests/core/control_plane_test.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds InForceBound{4000};
 
 /// Never returns to an older version, but serves before its configuration is confirmed.
-struct serve_unconfirmed_policy : forward_only_policy
+struct serve_unconfirmed_policy : monotonic_version_policy
 {
     static constexpr bool ConfirmBeforeServing = false;
 };
@@ -250,7 +250,7 @@
     std::uint64_t events = 0;
     rc::prop("", [&events] {
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-        fault_script<forward_only_policy> script(seed);
+        fault_script<monotonic_version_policy> script(seed);
         script.runSteps(40);
         auto &net = script.network();
         RC_ASSERT(!anyRegressed(net));
@@ -273,7 +273,7 @@
     int regressed = 0;
     constexpr int Scripts = 20;
     for (int i = 0; i < Scripts; ++i) {
-        fault_script<trusting_policy> script(Seed + i);
+        fault_script<unchecked_policy> script(Seed + i);
         script.runSteps(40);
         regressed += anyRegressed(script.network()) ? 1 : 0;
     }
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -137,8 +137,8 @@
 {
     network net(Seed);
     startAndConverge(net, 8, 4);
-    net.faults.leastDelay = 100ms;
-    net.faults.mostDelay = 220ms;
+    net.faults.minDelay = 100ms;
+    net.faults.maxDelay = 220ms;
     const auto before = deathsSeen(net);
     net.run(3min);
     CHECK(deathsSeen(net) - before == 0);
@@ -157,7 +157,7 @@
     REQUIRE(net.at(2).pausesNoticed == 0);
     net.wake(2);
     CHECK(net.at(2).pausesNoticed == 1);
-    CHECK(net.at(2).keeper->mustReconfirm());
+    CHECK(net.at(2).keeper->needsConfirmation());
     CHECK(net.at(2).members->lastPauseStart().has_value());
     const auto elapsed = net.runUntil([&] { return net.agreed(); }, 30s);
     CAPTURE(elapsed.count());
--- a/tests/standins/unguarded.cmake
+++ b/tests/standins/unguarded.cmake
@@ -36,6 +36,6 @@
 orchidlead_unguarded(ticket-guard include/orchidlead/at_most_once_guards.h
   "TicketRunsOnce = true" "TicketRunsOnce = false"
   src/core/once/at_most_once.cpp)
-orchidlead_unguarded(forward-guard include/orchidlead/configuration_keeper.h
+orchidlead_unguarded(forward-guard include/orchidlead/configuration_manager.h
   "return offered > current;" "return offered != current;"
   src/core/node/node_control.cpp)
