--- a/include/orchidlead/configuration_manager.h
+++ b/include/orchidlead/configuration_manager.h
@@ -50,7 +50,7 @@
                                            std::size_t readers, std::size_t fanout,
                                            std::uint64_t version);
 
-/// Settings of a configuration keeper.
+/// Settings of a configuration manager.
 struct configuration_manager_options
 {
     listed_vm self;
@@ -83,7 +83,7 @@
     enum_name<configuration_source>{configuration_source::Peer, "peer"},
 };
 
-/// Events that a keeper reports to operators.
+/// Events that a configuration manager reports to operators.
 enum class configuration_event {
     StaleService, ///< the service offered a lower version; ignored
     VersionConflict, ///< one version with two contents; the greater hash wins
--- a/include/orchidlead/failure_detector.h
+++ b/include/orchidlead/failure_detector.h
@@ -13,7 +13,7 @@
 /// Inputs to the time-out after which the server of an unanswered attempt is suspected.
 struct suspicion_input
 {
-    std::chrono::microseconds typical{0}; ///< median duration of such an attempt
+    std::chrono::microseconds medianTime{0}; ///< median duration of such an attempt
     std::chrono::microseconds tail{0}; ///< 99th percentile; 0: no samples yet
     /// Time left for this stage and a retry of it.
     std::chrono::microseconds slack{0};
@@ -26,21 +26,21 @@
     const Policy &policy, const suspicion_input &view)
 {
     {
-        policy.after(view)
+        policy.suspicionTimeout(view)
         } -> std::convertible_to<std::chrono::microseconds>;
 };
 
 /// A fixed multiple of the tail latency.
 struct fixed_suspicion_timeout
 {
-    [[nodiscard]] std::chrono::microseconds after(const suspicion_input &view) const;
+    [[nodiscard]] std::chrono::microseconds suspicionTimeout(const suspicion_input &view) const;
 };
 
 /// Shorter when more is at risk: when little slack is left, and when a larger fraction of the pool
 /// is already suspected.
 struct risk_aware_suspicion_timeout
 {
-    [[nodiscard]] std::chrono::microseconds after(const suspicion_input &view) const;
+    [[nodiscard]] std::chrono::microseconds suspicionTimeout(const suspicion_input &view) const;
 };
 
 struct failure_detector_settings
--- a/include/orchidlead/router.h
+++ b/include/orchidlead/router.h
@@ -41,7 +41,7 @@
 struct routing_settings
 {
     double remoteLatency = 2.0; ///< ms, round trip to another data centre
-    double usualLatency = 10.0; ///< ms, for a server without samples
+    double defaultLatency = 10.0; ///< ms, for a server without samples
     std::chrono::milliseconds slowStart{5'000};
     /// Relative to the mean number of outstanding attempts per server.
     double affinityLoadBound = 1.25;
@@ -54,7 +54,7 @@
     std::span<const std::uint32_t> local; ///< available slots of this data centre
     std::span<const std::uint32_t> remote; ///< available slots of other data centres
     double meanOutstanding = 0.0; ///< per member
-    double usualLatency = 0.0; ///< ms, over all members
+    double meanLatency = 0.0; ///< ms, over all members
 };
 
 /// The chosen slot and the candidates of the decision.
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -158,7 +158,7 @@
     m_traces.begin(id, request.customer, request.pipeline);
     m_openRequests.emplace(id, open_request{request.customer, request.pipeline, m_clock.now()});
     const plan_or_refusal plan = renderPlan(request);
-    const bool once = request.named() || (plan && !plan.value()->repeatable());
+    const bool once = request.hasTicketOrKey() || (plan && !plan.value()->repeatable());
     if (once)
         submitOnce(id, std::move(request), plan, out);
     else
@@ -263,7 +263,7 @@
                  std::optional<record_handle> record, node_actions &out)
 {
     const std::size_t bytes = request.input->size();
-    m_running.emplace(id, running_request{bytes, record, request.named()});
+    m_running.emplace(id, running_request{bytes, record, request.hasTicketOrKey()});
     m_heldBytes += bytes;
     pipeline_request work;
     work.id = id;
--- a/src/core/node/node_control.cpp
+++ b/src/core/node/node_control.cpp
@@ -26,9 +26,9 @@
 } // namespace
 
 node_control::node_control(const control_options &options, const clock_source &clock,
-                           published_keeper::validator validate)
+                           published_configuration_manager::validator validate)
     : m_members(clock, options.members)
-    , m_keeper(clock, options.keeper, std::move(validate))
+    , m_manager(clock, options.manager, std::move(validate))
 { }
 
 void node_control::setVmList(std::uint64_t version, const std::vector<listed_vm> &vms,
@@ -53,38 +53,38 @@
 void node_control::onServiceRead(service_call_id call, std::uint64_t version, std::string content,
                                  control_actions &out)
 {
-    feedKeeper(
-        [&](auto &actions) { m_keeper.onServiceRead(call, version, std::move(content), actions); },
+    feedManager(
+        [&](auto &actions) { m_manager.onServiceRead(call, version, std::move(content), actions); },
         out);
 }
 
 void node_control::onServiceUnchanged(service_call_id call, control_actions &out)
 {
-    feedKeeper([&](auto &actions) { m_keeper.onServiceUnchanged(call, actions); }, out);
+    feedManager([&](auto &actions) { m_manager.onServiceUnchanged(call, actions); }, out);
 }
 
 void node_control::onServiceFailed(service_call_id call, control_actions &out)
 {
-    feedKeeper([&](auto &actions) { m_keeper.onServiceFailed(call, actions); }, out);
+    feedManager([&](auto &actions) { m_manager.onServiceFailed(call, actions); }, out);
 }
 
 void node_control::onPeerContent(const vm_id &vm, std::uint64_t version, std::string content,
                                  control_actions &out)
 {
-    feedKeeper(
-        [&](auto &actions) { m_keeper.onPeerContent(vm, version, std::move(content), actions); },
+    feedManager(
+        [&](auto &actions) { m_manager.onPeerContent(vm, version, std::move(content), actions); },
         out);
 }
 
 void node_control::onPeerFailed(const vm_id &vm, control_actions &out)
 {
-    feedKeeper([&](auto &actions) { m_keeper.onPeerFailed(vm, actions); }, out);
+    feedManager([&](auto &actions) { m_manager.onPeerFailed(vm, actions); }, out);
 }
 
 void node_control::tick(control_actions &out)
 {
     feedMembers([&](auto &actions) { m_members.tick(actions); }, out);
-    feedKeeper([&](auto &actions) { m_keeper.tick(actions); }, out);
+    feedManager([&](auto &actions) { m_manager.tick(actions); }, out);
     // Peers confirm the list too, and no action reports that.
     if (confirmedAt() >= m_reportedConfirmation + ConfirmationReportInterval)
         reportMembers(out);
@@ -112,23 +112,23 @@
 
 void node_control::handleActions(const membership_actions &actions, control_actions &out)
 {
-    // Members first, because the keeper's handling of a peer's report depends on them.
+    // Members first, because the manager's handling of a peer's report depends on them.
     if (std::any_of(actions.begin(), actions.end(), changesMembers))
         reportMembers(out);
     for (const auto &action : actions) {
         std::visit(overloaded{
                        [](const member_removed &) {},
                        [&](const peer_report &report) {
-                           feedKeeper(
+                           feedManager(
                                [&](auto &next) {
-                                   m_keeper.onPeerVersion(report.vm, report.configuration,
-                                                          report.probeSentAt, next);
+                                   m_manager.onPeerVersion(report.vm, report.configuration,
+                                                           report.probeSentAt, next);
                                },
                                out);
                        },
                        [&](const paused &pause) {
                            out.emplace_back(pause);
-                           feedKeeper([&](auto &next) { m_keeper.onPaused(next); }, out);
+                           feedManager([&](auto &next) { m_manager.onPaused(next); }, out);
                        },
                        [&](const auto &other) { out.emplace_back(other); },
                    },
@@ -136,7 +136,8 @@
     }
 }
 
-void node_control::handleActions(published_keeper::actions &actions, control_actions &out)
+void node_control::handleActions(published_configuration_manager::actions &actions,
+                                 control_actions &out)
 {
     for (auto &action : actions) {
         std::visit(overloaded{
@@ -160,7 +161,7 @@
 {
     m_reportedConfirmation = confirmedAt();
     auto members = m_members.members();
-    m_keeper.setMembers(members);
+    m_manager.setMembers(members);
     out.emplace_back(members_updated{std::move(members), confirmedAt()});
 }
 
--- a/src/core/node/node_control.h
+++ b/src/core/node/node_control.h
@@ -15,7 +15,7 @@
 
 namespace orchidlead {
 
-using published_keeper = configuration_manager<published_configuration>;
+using published_configuration_manager = configuration_manager<published_configuration>;
 
 /// Action: the members changed, or the platform confirmed its list again.
 struct members_updated
@@ -34,16 +34,16 @@
 struct control_options
 {
     membership_options members;
-    configuration_manager_options keeper;
+    configuration_manager_options manager;
 };
 
-/// Connects membership and the configuration keeper: reports from gossip go to the keeper, and the
-/// keeper's decisions are sent with the gossip. Deterministic, without I/O.
+/// Connects membership and the configuration manager: reports from gossip go to the manager, and
+/// the manager's decisions are sent with the gossip. Deterministic, without I/O.
 class node_control
 {
 public:
     node_control(const control_options &options, const clock_source &clock,
-                 published_keeper::validator validate);
+                 published_configuration_manager::validator validate);
 
     void setVmList(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
     /// Records the platform's confirmation that its list still has this version.
@@ -68,13 +68,13 @@
 
     /// Whether a configuration is in force that peers or the service confirmed since the start and
     /// since the last pause.
-    [[nodiscard]] bool readyToServe() const { return m_keeper.readyToServe(); }
-    [[nodiscard]] const published_keeper &keeper() const { return m_keeper; }
+    [[nodiscard]] bool readyToServe() const { return m_manager.readyToServe(); }
+    [[nodiscard]] const published_configuration_manager &manager() const { return m_manager; }
     [[nodiscard]] const membership &members() const { return m_members; }
 
 private:
     void handleActions(const membership_actions &actions, control_actions &out);
-    void handleActions(published_keeper::actions &actions, control_actions &out);
+    void handleActions(published_configuration_manager::actions &actions, control_actions &out);
     void reportMembers(control_actions &out);
     [[nodiscard]] steady_time confirmedAt() const;
 
@@ -87,17 +87,17 @@
         handleActions(actions, out);
     }
 
-    /// Runs one input of the keeper and handles its actions.
+    /// Runs one input of the manager and handles its actions.
     template <class Input>
-    void feedKeeper(Input &&input, control_actions &out)
+    void feedManager(Input &&input, control_actions &out)
     {
-        published_keeper::actions actions;
+        published_configuration_manager::actions actions;
         input(actions);
         handleActions(actions, out);
     }
 
     membership m_members;
-    published_keeper m_keeper;
+    published_configuration_manager m_manager;
     steady_time m_reportedConfirmation;
 };
 
--- a/src/core/once/at_most_once.h
+++ b/src/core/once/at_most_once.h
@@ -191,7 +191,8 @@
     [[nodiscard]] at_most_once_verdict onNewKey(const non_repeatable_request &request,
                                                 const idempotency_key &key, const std::string &id);
     [[nodiscard]] at_most_once_verdict onUncertain(const non_repeatable_request &request,
-                                                   std::size_t shard, key_admission standing) const;
+                                                   std::size_t shard,
+                                                   key_admission admission) const;
     [[nodiscard]] at_most_once_verdict accept(const non_repeatable_request &request,
                                               const std::string &id, steady_time keepUntil);
     [[nodiscard]] static at_most_once_verdict
--- a/src/core/once/at_most_once_definitions.h
+++ b/src/core/once/at_most_once_definitions.h
@@ -162,11 +162,11 @@
     if (elsewhere && !request.forwarded)
         return forward_to{{}, request.homeDataCenter, forward_kind::Key};
     const std::size_t shard = shardOf(id);
-    auto standing = m_home.admission(shard, key.issued);
+    auto admission = m_home.admission(shard, key.issued);
     if (elsewhere || (m_frozenShards & shardBit(shard)) != 0)
-        standing = key_admission::NoLease;
-    if (standing != key_admission::Certain)
-        return onUncertain(request, shard, standing);
+        admission = key_admission::NoLease;
+    if (admission != key_admission::Certain)
+        return onUncertain(request, shard, admission);
     const auto left = key.issued + m_settings.window - wall + 2 * m_settings.clockSkew;
     return accept(request, id,
                   m_clock.now() + std::chrono::duration_cast<steady_time::duration>(left));
@@ -177,15 +177,15 @@
 template <at_most_once_guards Guards>
 at_most_once_verdict basic_at_most_once<Guards>::onUncertain(const non_repeatable_request &request,
                                                              std::size_t shard,
-                                                             key_admission standing) const
+                                                             key_admission admission) const
 {
     using at_most_once_detail::refusal;
     const outcome ended = Guards::UncertainMeansUnknown ? outcome::Unknown : outcome::NotRun;
-    if (standing == key_admission::IssuedInFuture) {
+    if (admission == key_admission::IssuedInFuture) {
         return refusal(ended, refusal_reason::InvalidRequest,
                        "the key's time of issue is in the future");
     }
-    if (standing == key_admission::IssuedBeforeLease) {
+    if (admission == key_admission::IssuedBeforeLease) {
         return refusal(ended, refusal_reason::HomeUncertain,
                        "an earlier home of the key may have run it; it won't be run any more");
     }
--- a/src/core/requests/caller_request.h
+++ b/src/core/requests/caller_request.h
@@ -16,7 +16,7 @@
     customer_id customer;
     pipeline_id pipeline;
     payload input; ///< JSON value, as the caller wrote it
-    payload body; ///< the whole request, for forwarding to another node; only if `named`
+    payload body; ///< the whole request, for forwarding to another node; only if `hasTicketOrKey`
     std::optional<milliseconds> deadline; ///< since the request was read; default: the pipeline's
     std::optional<bool> repeatable; ///< false: at most once, even if the stages are repeatable
     std::optional<std::string> ticket;
@@ -25,7 +25,7 @@
     vm_id forwardedBy; ///< the forwarding node; empty if received from a caller
 
     /// Whether the request has an identifier by which copies of it are detected.
-    [[nodiscard]] bool named() const { return ticket || idempotencyKey; }
+    [[nodiscard]] bool hasTicketOrKey() const { return ticket || idempotencyKey; }
 };
 
 } // namespace orchidlead
--- a/src/core/requests/engine_attempts_impl.h
+++ b/src/core/requests/engine_attempts_impl.h
@@ -117,7 +117,7 @@
         return m_estimates.quantile(state.plan(), index, state.sizeClass, share);
     };
     suspicion_input silence{attempt.medianTime, quantile(0.99), slack, pool.suspectedShare()};
-    const steady_time silent = now + m_silence.after(silence);
+    const steady_time silent = now + m_silence.suspicionTimeout(silence);
     if (silent < end)
         addTimer(timer_kind::Silence, silent, state, index, attempt.number);
     if (attempt.hedge || !Policies::repeats::mayHedge(plan))
--- a/src/core/servers/failure_detector.cpp
+++ b/src/core/servers/failure_detector.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-microseconds fixed_suspicion_timeout::after(const suspicion_input &view) const
+microseconds fixed_suspicion_timeout::suspicionTimeout(const suspicion_input &view) const
 {
     if (view.tail.count() == 0)
         return DefaultThreshold;
@@ -32,7 +32,7 @@
 // Applies risk-aware failure identification to requests: at risk are the deadline of the request
 // and the pool's capacity to compensate for the server. Half of the slack is the latest time at
 // which a retry of the same length can still succeed.
-microseconds risk_aware_suspicion_timeout::after(const suspicion_input &view) const
+microseconds risk_aware_suspicion_timeout::suspicionTimeout(const suspicion_input &view) const
 {
     if (view.tail.count() == 0)
         return DefaultThreshold;
--- a/src/core/servers/leaving_server_set.cpp
+++ b/src/core/servers/leaving_server_set.cpp
@@ -21,13 +21,13 @@
     return out;
 }
 
-bool leaving_server_set::note(const leaving_update &news)
+bool leaving_server_set::apply(const leaving_update &update)
 {
-    const auto found = m_leaving.find(news.server);
-    if (news.leaving) {
+    const auto found = m_leaving.find(update.server);
+    if (update.leaving) {
         if (found != m_leaving.end() || m_leaving.size() >= MaxServers)
             return false;
-        m_leaving.emplace(news.server, m_clock.now());
+        m_leaving.emplace(update.server, m_clock.now());
         return true;
     }
     if (found == m_leaving.end() || m_clock.now() - found->second < MaxReportLag)
--- a/src/core/servers/leaving_server_set.h
+++ b/src/core/servers/leaving_server_set.h
@@ -30,7 +30,7 @@
     /// Applies a change received from a server or a peer; returns whether it is new. A new change
     /// from the server itself must be sent to the peers. A peer sends its changes to all nodes, so
     /// those aren't forwarded.
-    [[nodiscard]] bool note(const leaving_update &news);
+    [[nodiscard]] bool apply(const leaving_update &update);
 
     /// All leaving servers, to be sent to a new peer.
     [[nodiscard]] std::vector<leaving_update> all() const;
--- a/src/core/servers/router.cpp
+++ b/src/core/servers/router.cpp
@@ -96,7 +96,7 @@
 {
     const routing_entry &entry = view.entries[slot];
     const double poolLatency =
-        view.usualLatency > 0.0 ? view.usualLatency : m_settings.usualLatency;
+        view.meanLatency > 0.0 ? view.meanLatency : m_settings.defaultLatency;
     const double latency = entry.latency > 0.0 ? entry.latency : poolLatency;
     const std::uint32_t others = entry.reported - std::min(entry.reported, entry.outstanding);
     const double load = 1.0 + entry.outstanding + ReportWeight * others;
@@ -126,7 +126,7 @@
         last = slot;
         choice.consider(slot);
         const routing_entry &entry = view.entries[slot];
-        const bool slow = entry.latency > PrefixLatencyBound * view.usualLatency;
+        const bool slow = entry.latency > PrefixLatencyBound * view.meanLatency;
         const bool slowStarting = slowStartShare(entry, m_settings.slowStart, request.now) < 1.0;
         const bool full = entry.outstanding > maxLoad;
         if (entry.available && !full && !slow && !slowStarting && isUsable(entry, slot, request))
--- a/src/core/servers/service_pool_impl.h
+++ b/src/core/servers/service_pool_impl.h
@@ -124,7 +124,7 @@
     view.local = m_local;
     view.remote = m_remote;
     view.meanOutstanding = m_members == 0 ? 0.0 : static_cast<double>(m_inFlight) / m_members;
-    view.usualLatency = m_poolLatency;
+    view.meanLatency = m_poolLatency;
     return m_router.pick(view, request, random);
 }
 
--- a/src/daemon/caller_request_json.cpp
+++ b/src/daemon/caller_request_json.cpp
@@ -165,7 +165,7 @@
     BOOST_OUTCOME_TRY(checkFields(root));
     BOOST_OUTCOME_TRY(request, readWork(body, root));
     BOOST_OUTCOME_TRY(readTerms(root, request));
-    if (request.named())
+    if (request.hasTicketOrKey())
         request.body = std::make_shared<const std::string>(body);
     return std::move(request);
 }
--- a/src/daemon/control_shell.cpp
+++ b/src/daemon/control_shell.cpp
@@ -165,7 +165,7 @@
 
 void control_shell::perform(const configuration_event_report &action)
 {
-    m_events.onKeeperReport(action);
+    m_events.onConfigurationReport(action);
 }
 
 void control_shell::perform(const members_updated &action)
--- a/src/daemon/control_shell.h
+++ b/src/daemon/control_shell.h
@@ -38,7 +38,7 @@
 {
     std::function<void(const adopt_configuration<published_configuration> &)> onConfiguration;
     std::function<void(const reject_configuration &)> onRefused;
-    std::function<void(const configuration_event_report &)> onKeeperReport;
+    std::function<void(const configuration_event_report &)> onConfigurationReport;
     std::function<void(const members_updated &)> onMembers;
     std::function<void(const member_changed &)> onMemberChanged;
     std::function<void(const paused &)> onPaused;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -107,8 +107,8 @@
         m_shell.setConfiguration(adopted.configuration);
     };
     events.onRefused = [this](const auto &refused) { m_reporter.onRefused(refused); };
-    events.onKeeperReport = [this](const auto &report) {
-        m_reporter.onKeeperReport(report);
+    events.onConfigurationReport = [this](const auto &report) {
+        m_reporter.onConfigurationReport(report);
         applyAdmission();
     };
     events.onMembers = [this](const auto &update) { m_shell.setMembers(update); };
@@ -153,10 +153,10 @@
     peer_link_events events;
     events.fetchConfiguration =
         [this](std::uint64_t version) -> std::optional<wire::configuration_content> {
-        const auto &keeper = m_control.state().keeper();
-        if (keeper.stamp().version == 0 || keeper.stamp().version < version)
+        const auto &manager = m_control.state().manager();
+        if (manager.stamp().version == 0 || manager.stamp().version < version)
             return std::nullopt;
-        return wire::configuration_content{keeper.stamp().version, keeper.content()};
+        return wire::configuration_content{manager.stamp().version, manager.content()};
     };
     events.onAtMostOnceMessage = [this](const vm_id &from, const std::string &bytes) {
         onAtMostOnceMessage(from, bytes);
--- a/src/daemon/daemon_options.cpp
+++ b/src/daemon/daemon_options.cpp
@@ -38,7 +38,8 @@
     return options;
 }
 
-configuration_manager_options keeperOptions(const process_settings &settings, incarnation start)
+configuration_manager_options configurationManagerOptions(const process_settings &settings,
+                                                          incarnation start)
 {
     configuration_manager_options options;
     options.self = selfOf(settings);
@@ -84,7 +85,7 @@
 {
     control_shell_options options;
     options.control.members = memberOptions(settings, start);
-    options.control.keeper = keeperOptions(settings, start);
+    options.control.manager = configurationManagerOptions(settings, start);
     options.peerListen = settings.listen.peer;
     options.configurationService = settings.platform.configurationService;
     options.vmList = settings.platform.vmList;
--- a/src/daemon/news_exchange.cpp
+++ b/src/daemon/news_exchange.cpp
@@ -26,7 +26,7 @@
 
 void news_exchange::onTold(const leaving_update &news)
 {
-    if (!m_news.note(news))
+    if (!m_news.apply(news))
         return;
     for (const milliseconds delay : Repeats) {
         m_loop.callAfter(delay, [this, news, alive = std::weak_ptr<int>(m_alive)] {
@@ -42,7 +42,7 @@
     if (!heard)
         return;
     for (const auto &news : *heard) {
-        if (m_news.note(news))
+        if (m_news.apply(news))
             m_events.onHeard(news);
     }
 }
--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -268,18 +268,18 @@
 
 Json::Value viewConfiguration(const node_control &control, bool withContent)
 {
-    const published_keeper &keeper = control.keeper();
+    const published_configuration_manager &manager = control.manager();
     Json::Value out{Json::objectValue};
-    out["version"] = count(keeper.stamp().version);
-    out["hash"] = count(keeper.stamp().hash);
-    out["reader"] = keeper.isReader();
-    out["confirmed"] = keeper.readyToServe();
-    out["service_calls"] = count(keeper.serviceCalls());
+    out["version"] = count(manager.stamp().version);
+    out["hash"] = count(manager.stamp().hash);
+    out["reader"] = manager.isReader();
+    out["confirmed"] = manager.readyToServe();
+    out["service_calls"] = count(manager.serviceCalls());
     out["refused"] = Json::Value{Json::arrayValue};
-    for (const auto &refused : keeper.refused())
+    for (const auto &refused : manager.refused())
         out["refused"].append(count(refused.version));
     if (withContent)
-        out["content"] = text(keeper.content());
+        out["content"] = text(manager.content());
     return out;
 }
 
--- a/src/daemon/reporter.cpp
+++ b/src/daemon/reporter.cpp
@@ -23,7 +23,7 @@
     gauges.openRequests = sources.requests.openRequests();
     gauges.connections = sources.connections;
     gauges.heldBytes = sources.requests.heldBytes();
-    gauges.configurationVersion = sources.control.keeper().stamp().version;
+    gauges.configurationVersion = sources.control.manager().stamp().version;
     gauges.configurationHeard = gauges.configurationVersion;
     for (const auto &member : sources.requests.members())
         ++gauges.members.at(static_cast<std::size_t>(member.state));
@@ -73,7 +73,7 @@
     m_log.write(log_level::Error, node_event::ConfigurationRefused, detail);
 }
 
-void reporter::onKeeperReport(const configuration_event_report &report)
+void reporter::onConfigurationReport(const configuration_event_report &report)
 {
     m_log.write(log_level::Info, node_event::ConfigurationReport,
                 std::string(toName(report.event)) + " " + stampText(report.stamp));
--- a/src/daemon/reporter.h
+++ b/src/daemon/reporter.h
@@ -35,7 +35,7 @@
     void onEnded(const end_request &ended);
     void onConfiguration(const adopt_configuration<published_configuration> &adopted);
     void onRefused(const reject_configuration &refused);
-    void onKeeperReport(const configuration_event_report &report);
+    void onConfigurationReport(const configuration_event_report &report);
     void onMemberChanged(const member_changed &changed);
     void onPaused(const paused &pause);
     void onEvent(wire::log_level level, wire::node_event event, std::string_view detail);
--- a/tests/core/configuration_manager_test.cpp
+++ b/tests/core/configuration_manager_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using text_keeper = configuration_manager<text_configuration>;
+using text_manager = configuration_manager<text_configuration>;
 
 listed_vm makeVm(const std::string &name, const std::string &dataCenter = "dc-1")
 {
@@ -34,17 +34,17 @@
     return {version, configurationHash(content)};
 }
 
-/// Runs one keeper and collects its actions.
-template <class Keeper = text_keeper>
-struct keeper_fixture
+/// Runs one configuration manager and collects its actions.
+template <class Manager = text_manager>
+struct manager_fixture
 {
-    explicit keeper_fixture(std::vector<member> members = {makeMember("vm-1")})
+    explicit manager_fixture(std::vector<member> members = {makeMember("vm-1")})
     {
         configuration_manager_options options;
         options.self = makeVm("vm-1");
-        keeper = std::make_unique<Keeper>(clock, options, parseText);
-        keeper->setMembers(std::move(members));
-        keeper->tick(out);
+        manager = std::make_unique<Manager>(clock, options, parseText);
+        manager->setMembers(std::move(members));
+        manager->tick(out);
     }
 
     template <class Action>
@@ -70,15 +70,15 @@
     /// Answers the latest call to the service.
     void answerServiceCall(std::uint64_t version, const std::string &content)
     {
-        const auto call = keeper->serviceCalls();
+        const auto call = manager->serviceCalls();
         out.clear();
-        keeper->onServiceRead(call, version, content, out);
+        manager->onServiceRead(call, version, content, out);
     }
 
     void advanceTime(milliseconds time)
     {
         clock.advance(time);
-        keeper->tick(out);
+        manager->tick(out);
     }
 
     /// Puts a version in force and waits until it is confirmed or the confirmation times out.
@@ -86,27 +86,27 @@
     {
         answerServiceCall(version, content);
         advanceTime(2s);
-        REQUIRE(keeper->readyToServe());
+        REQUIRE(manager->readyToServe());
         out.clear();
     }
 
     manual_clock clock;
-    typename Keeper::actions out;
-    std::unique_ptr<Keeper> keeper;
+    typename Manager::actions out;
+    std::unique_ptr<Manager> manager;
 };
 
 } // namespace
 
 TEST_CASE("a single node serves the configuration that the service returns")
 {
-    keeper_fixture<> node;
+    manager_fixture<> node;
     const auto calls = node.actionsOf<fetch_from_service>();
     REQUIRE(calls.size() == 1);
     CHECK(calls[0].wait == 0ms);
-    CHECK_FALSE(node.keeper->readyToServe());
+    CHECK_FALSE(node.manager->readyToServe());
     node.answerServiceCall(3, "three");
-    REQUIRE(node.keeper->readyToServe());
-    CHECK(node.keeper->current()->text == "three");
+    REQUIRE(node.manager->readyToServe());
+    CHECK(node.manager->current()->text == "three");
     node.out.clear();
     node.advanceTime(500ms);
     REQUIRE(node.actionsOf<fetch_from_service>().size() == 1);
@@ -116,21 +116,21 @@
 
 TEST_CASE("a lower version from a stale service is ignored and reported")
 {
-    keeper_fixture<> node;
+    manager_fixture<> node;
     node.adoptAndConfirm(12, "twelve");
     node.answerServiceCall(9, "nine");
-    CHECK(node.keeper->stamp().version == 12);
+    CHECK(node.manager->stamp().version == 12);
     CHECK(node.reported(configuration_event::StaleService));
 }
 
 TEST_CASE(
     "an invalid version is rejected once and the previous one stays until a valid one arrives")
 {
-    keeper_fixture<> node;
+    manager_fixture<> node;
     node.adoptAndConfirm(12, "twelve");
     node.answerServiceCall(13, "invalid thirteen");
     REQUIRE(node.actionsOf<reject_configuration>().size() == 1);
-    CHECK(node.keeper->current()->text == "twelve");
+    CHECK(node.manager->current()->text == "twelve");
     node.advanceTime(1s);
     INFO("the watch must not return the rejected version at once");
     REQUIRE_FALSE(node.actionsOf<fetch_from_service>().empty());
@@ -138,145 +138,145 @@
     node.answerServiceCall(13, "invalid thirteen");
     CHECK(node.actionsOf<reject_configuration>().empty());
     node.answerServiceCall(14, "fourteen");
-    CHECK(node.keeper->current()->text == "fourteen");
+    CHECK(node.manager->current()->text == "fourteen");
 }
 
 TEST_CASE(
     "of two configurations with the same version all nodes adopt the one with the greater hash")
 {
-    keeper_fixture<> one;
-    keeper_fixture<> other;
+    manager_fixture<> one;
+    manager_fixture<> other;
     one.adoptAndConfirm(5, "left");
     one.answerServiceCall(5, "right");
     CHECK(one.reported(configuration_event::VersionConflict));
     other.adoptAndConfirm(5, "right");
     other.answerServiceCall(5, "left");
     CHECK(other.reported(configuration_event::VersionConflict));
-    CHECK(one.keeper->stamp() == other.keeper->stamp());
+    CHECK(one.manager->stamp() == other.manager->stamp());
 }
 
 TEST_CASE("a new node with a stale service serves only after adopting the version of a peer")
 {
-    keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
+    manager_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
     REQUIRE_FALSE(node.actionsOf<probe_peers>().empty());
     node.answerServiceCall(9, "nine");
-    CHECK_FALSE(node.keeper->readyToServe());
+    CHECK_FALSE(node.manager->readyToServe());
     node.out.clear();
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(12, "twelve"), node.clock.now(), node.out);
-    CHECK_FALSE(node.keeper->readyToServe());
+    node.manager->onPeerVersion(vm_id{"vm-2"}, makeStamp(12, "twelve"), node.clock.now(), node.out);
+    CHECK_FALSE(node.manager->readyToServe());
     REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     node.advanceTime(900ms);
-    node.keeper->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
-    CHECK(node.keeper->readyToServe());
-    CHECK(node.keeper->stamp().version == 12);
+    node.manager->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
+    CHECK(node.manager->readyToServe());
+    CHECK(node.manager->stamp().version == 12);
 }
 
 TEST_CASE("a new node without a VM list is not confirmed by the answer of a stale service")
 {
     member self = makeMember("vm-1");
     self.listed = false;
-    keeper_fixture<> node({self});
+    manager_fixture<> node({self});
     node.answerServiceCall(9, "nine");
-    CHECK_FALSE(node.keeper->readyToServe());
-    node.keeper->setMembers({makeMember("vm-1"), makeMember("vm-2")});
+    CHECK_FALSE(node.manager->readyToServe());
+    node.manager->setMembers({makeMember("vm-1"), makeMember("vm-2")});
     node.advanceTime(50ms);
-    CHECK_FALSE(node.keeper->readyToServe());
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(12, "twelve"), node.clock.now(), node.out);
-    CHECK_FALSE(node.keeper->readyToServe());
-    node.keeper->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
-    CHECK(node.keeper->readyToServe());
-    CHECK(node.keeper->stamp().version == 12);
+    CHECK_FALSE(node.manager->readyToServe());
+    node.manager->onPeerVersion(vm_id{"vm-2"}, makeStamp(12, "twelve"), node.clock.now(), node.out);
+    CHECK_FALSE(node.manager->readyToServe());
+    node.manager->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
+    CHECK(node.manager->readyToServe());
+    CHECK(node.manager->stamp().version == 12);
 }
 
 TEST_CASE("without the guard a new node serves the version of a stale service")
 {
-    keeper_fixture<configuration_manager<text_configuration, unchecked_policy>> node(
+    manager_fixture<configuration_manager<text_configuration, unchecked_policy>> node(
         {makeMember("vm-1"), makeMember("vm-2")});
     node.answerServiceCall(12, "twelve");
     node.answerServiceCall(9, "nine");
-    CHECK(node.keeper->readyToServe());
+    CHECK(node.manager->readyToServe());
     INFO("the version decreased");
-    CHECK(node.keeper->stamp().version == 9);
+    CHECK(node.manager->stamp().version == 9);
 }
 
 TEST_CASE("after a pause the node probes its peers again and ignores answers to earlier probes")
 {
-    keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
+    manager_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
     const auto firstProbeSentAt = node.clock.now();
     node.answerServiceCall(12, "twelve");
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), firstProbeSentAt, node.out);
-    REQUIRE(node.keeper->readyToServe());
+    node.manager->onPeerVersion(vm_id{"vm-2"}, node.manager->stamp(), firstProbeSentAt, node.out);
+    REQUIRE(node.manager->readyToServe());
 
     node.clock.advance(10s);
     node.out.clear();
-    node.keeper->onPaused(node.out);
-    CHECK(node.keeper->needsConfirmation());
+    node.manager->onPaused(node.out);
+    CHECK(node.manager->needsConfirmation());
     CHECK_FALSE(node.actionsOf<probe_peers>().empty());
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), firstProbeSentAt, node.out);
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, node.keeper->stamp(), std::nullopt, node.out);
-    CHECK(node.keeper->needsConfirmation());
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, makeStamp(13, "thirteen"), node.clock.now(),
-                               node.out);
-    CHECK(node.keeper->needsConfirmation());
-    node.keeper->onPeerContent(vm_id{"vm-2"}, 13, "thirteen", node.out);
-    CHECK(node.keeper->readyToServe());
+    node.manager->onPeerVersion(vm_id{"vm-2"}, node.manager->stamp(), firstProbeSentAt, node.out);
+    node.manager->onPeerVersion(vm_id{"vm-2"}, node.manager->stamp(), std::nullopt, node.out);
+    CHECK(node.manager->needsConfirmation());
+    node.manager->onPeerVersion(vm_id{"vm-2"}, makeStamp(13, "thirteen"), node.clock.now(),
+                                node.out);
+    CHECK(node.manager->needsConfirmation());
+    node.manager->onPeerContent(vm_id{"vm-2"}, 13, "thirteen", node.out);
+    CHECK(node.manager->readyToServe());
 }
 
 TEST_CASE("a node without any answer serves the configuration in force after the timeout")
 {
-    keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
+    manager_fixture<> node({makeMember("vm-1"), makeMember("vm-2")});
     node.adoptAndConfirm(12, "twelve");
-    node.keeper->onPaused(node.out);
+    node.manager->onPaused(node.out);
     node.advanceTime(1900ms);
-    CHECK_FALSE(node.keeper->readyToServe());
+    CHECK_FALSE(node.manager->readyToServe());
     node.advanceTime(200ms);
-    CHECK(node.keeper->readyToServe());
+    CHECK(node.manager->readyToServe());
     CHECK(node.reported(configuration_event::ConfirmTimedOut));
 }
 
 TEST_CASE("a peer that sends a lower version than announced is replaced by another holder")
 {
-    keeper_fixture<> node({makeMember("vm-1"), makeMember("vm-2"), makeMember("vm-3")});
+    manager_fixture<> node({makeMember("vm-1"), makeMember("vm-2"), makeMember("vm-3")});
     const auto stamp = makeStamp(12, "twelve");
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, stamp, std::nullopt, node.out);
-    node.keeper->onPeerVersion(vm_id{"vm-3"}, stamp, std::nullopt, node.out);
+    node.manager->onPeerVersion(vm_id{"vm-2"}, stamp, std::nullopt, node.out);
+    node.manager->onPeerVersion(vm_id{"vm-3"}, stamp, std::nullopt, node.out);
     REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     node.out.clear();
-    node.keeper->onPeerContent(vm_id{"vm-2"}, 11, "eleven", node.out);
+    node.manager->onPeerContent(vm_id{"vm-2"}, 11, "eleven", node.out);
     CHECK(node.reported(configuration_event::ContentMismatch));
     REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
     CHECK(node.actionsOf<fetch_from_peer>()[0].vm == vm_id{"vm-3"});
     node.out.clear();
     INFO("a fetch from a peer that does not answer times out");
     node.advanceTime(1100ms);
-    node.keeper->onPeerVersion(vm_id{"vm-2"}, stamp, std::nullopt, node.out);
+    node.manager->onPeerVersion(vm_id{"vm-2"}, stamp, std::nullopt, node.out);
     REQUIRE(node.actionsOf<fetch_from_peer>().size() == 1);
-    node.keeper->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
-    CHECK(node.keeper->stamp() == stamp);
+    node.manager->onPeerContent(vm_id{"vm-2"}, 12, "twelve", node.out);
+    CHECK(node.manager->stamp() == stamp);
 }
 
 TEST_CASE(
     "while the service is down the call rate is bounded and a recovered service is read again")
 {
-    keeper_fixture<> node;
+    manager_fixture<> node;
     node.adoptAndConfirm(12, "twelve");
-    const auto before = node.keeper->serviceCalls();
+    const auto before = node.manager->serviceCalls();
     for (int i = 0; i < 36000; ++i) {
         node.advanceTime(100ms);
         for (const auto &call : node.actionsOf<fetch_from_service>()) {
             node.out.clear();
-            node.keeper->onServiceFailed(call.call, node.out);
+            node.manager->onServiceFailed(call.call, node.out);
         }
         node.out.clear();
     }
-    const auto calls = node.keeper->serviceCalls() - before;
+    const auto calls = node.manager->serviceCalls() - before;
     INFO("calls in one hour: " << calls);
     CHECK(calls >= 1800);
     CHECK(calls <= 7200);
-    CHECK(node.keeper->current()->text == "twelve");
+    CHECK(node.manager->current()->text == "twelve");
     node.advanceTime(2s);
     node.answerServiceCall(13, "thirteen");
-    CHECK(node.keeper->stamp().version == 13);
+    CHECK(node.manager->stamp().version == 13);
 }
 
 TEST_CASE("a suspected reader is replaced by another node of the data centre")
@@ -342,25 +342,25 @@
     }
     REQUIRE(position);
     manual_clock clock;
-    text_keeper keeper(clock, options, parseText);
-    keeper.setMembers(members);
-    text_keeper::actions out;
+    text_manager manager(clock, options, parseText);
+    manager.setMembers(members);
+    text_manager::actions out;
     const vm_id holder =
         isConfigurationReader(members[0].vm, members, 3) && members[0].vm.vm != position->parent
         ? members[0].vm.vm
         : members[1].vm.vm;
-    keeper.onPeerVersion(holder, makeStamp(1, "one"), std::nullopt, out);
-    keeper.onPeerContent(holder, 1, "one", out);
+    manager.onPeerVersion(holder, makeStamp(1, "one"), std::nullopt, out);
+    manager.onPeerContent(holder, 1, "one", out);
     clock.advance(3s);
-    keeper.tick(out);
-    REQUIRE(keeper.readyToServe());
+    manager.tick(out);
+    REQUIRE(manager.readyToServe());
     out.clear();
-    keeper.onPeerVersion(holder, makeStamp(2, "two"), std::nullopt, out);
+    manager.onPeerVersion(holder, makeStamp(2, "two"), std::nullopt, out);
     REQUIRE(out.size() == 1);
     CHECK(std::get<fetch_from_peer>(out[0]).vm == position->parent);
-    keeper.onPeerContent(position->parent, 1, "one", out);
+    manager.onPeerContent(position->parent, 1, "one", out);
     REQUIRE(out.size() == 2);
     CHECK(std::get<fetch_from_peer>(out[1]).vm == holder);
-    keeper.onPeerContent(holder, 2, "two", out);
-    CHECK(keeper.stamp().version == 2);
+    manager.onPeerContent(holder, 2, "two", out);
+    CHECK(manager.stamp().version == 2);
 }
--- a/tests/core/control_fake_network.h
+++ b/tests/core/control_fake_network.h
@@ -50,12 +50,12 @@
     milliseconds maxDelay{3}; ///< random delays reorder datagrams
 };
 
-/// Runs the membership and the configuration keeper of many nodes against each other.
+/// Runs the membership and the configuration manager of many nodes against each other.
 template <class Policy = monotonic_version_policy>
 class control_fake_network
 {
 public:
-    using keeper_type = configuration_manager<text_configuration, Policy>;
+    using manager_type = configuration_manager<text_configuration, Policy>;
 
     struct node
     {
@@ -64,7 +64,7 @@
         bool running = false;
         bool paused = false;
         std::unique_ptr<membership> members;
-        std::unique_ptr<keeper_type> keeper;
+        std::unique_ptr<manager_type> manager;
         std::vector<std::pair<socket_address, std::string>> buffered; ///< while paused
         std::uint64_t pausesNoticed = 0;
         std::uint64_t deathsSeen = 0; ///< members that became dead
@@ -115,10 +115,10 @@
         options.incarnation = started.incarnation;
         options.seed = m_random();
         started.members = std::make_unique<membership>(clock, options);
-        configuration_manager_options keeperOptions;
-        keeperOptions.self = started.vm;
-        keeperOptions.seed = m_random();
-        started.keeper = std::make_unique<keeper_type>(clock, keeperOptions, parseText);
+        configuration_manager_options managerOptions;
+        managerOptions.self = started.vm;
+        managerOptions.seed = m_random();
+        started.manager = std::make_unique<manager_type>(clock, managerOptions, parseText);
         if (platformReaches(index))
             sendList(index);
         scheduleTick(index, milliseconds{m_random() % TickTime.count()});
@@ -224,7 +224,7 @@
     {
         for (std::size_t i = 0; i < size(); ++i) {
             const bool counts = active(i) && groupOf(i) == group;
-            if (counts && at(i).keeper->stamp().version != version)
+            if (counts && at(i).manager->stamp().version != version)
                 return false;
         }
         return true;
@@ -281,9 +281,9 @@
         membership_actions out;
         at(index).members->tick(out);
         carryOut(index, out);
-        typename keeper_type::actions keeperActions;
-        at(index).keeper->tick(keeperActions);
-        carryOut(index, keeperActions);
+        typename manager_type::actions managerActions;
+        at(index).manager->tick(managerActions);
+        carryOut(index, managerActions);
     }
 
     void sendList(std::size_t index)
@@ -319,7 +319,7 @@
                 || std::holds_alternative<member_removed>(action);
         }
         if (changed)
-            at(index).keeper->setMembers(at(index).members->members());
+            at(index).manager->setMembers(at(index).members->members());
         for (const auto &action : actions)
             std::visit([this, index](const auto &one) { this->handle(index, one); }, action);
     }
@@ -354,19 +354,19 @@
     void handle(std::size_t index, const paused &)
     {
         at(index).pausesNoticed++;
-        typename keeper_type::actions out;
-        at(index).keeper->onPaused(out);
+        typename manager_type::actions out;
+        at(index).manager->onPaused(out);
         carryOut(index, out);
     }
 
     void handle(std::size_t index, const peer_report &report)
     {
-        typename keeper_type::actions out;
-        at(index).keeper->onPeerVersion(report.vm, report.configuration, report.probeSentAt, out);
+        typename manager_type::actions out;
+        at(index).manager->onPeerVersion(report.vm, report.configuration, report.probeSentAt, out);
         carryOut(index, out);
     }
 
-    void carryOut(std::size_t index, const typename keeper_type::actions &actions)
+    void carryOut(std::size_t index, const typename manager_type::actions &actions)
     {
         for (const auto &action : actions)
             std::visit([this, index](const auto &one) { this->handle(index, one); }, action);
@@ -400,14 +400,14 @@
             if (at(peer).vm.vm != fetch.vm)
                 continue;
             const bool reachable = active(peer) && groupOf(peer) == groupOf(index);
-            if (!reachable) // no answer: the keeper's own time-out ends the read
+            if (!reachable) // no answer: the manager's own time-out ends the read
                 return;
             at(peer).contentsServed++;
-            const auto version = at(peer).keeper->stamp().version;
-            const auto content = at(peer).keeper->content();
+            const auto version = at(peer).manager->stamp().version;
+            const auto content = at(peer).manager->content();
             scheduleFor(index, delay() + delay(), [this, index, vm = fetch.vm, version, content] {
-                withKeeper(index, [=](auto &keeper, auto &out) {
-                    keeper.onPeerContent(vm, version, content, out);
+                withManager(index, [=](auto &manager, auto &out) {
+                    manager.onPeerContent(vm, version, content, out);
                 });
             });
         }
@@ -418,8 +418,8 @@
         ++m_serviceCalls;
         if (!m_serviceUp || !platformReaches(index)) {
             scheduleFor(index, milliseconds{5}, [this, index, fetch] {
-                withKeeper(index, [=](auto &keeper, auto &out) {
-                    keeper.onServiceFailed(fetch.call, out);
+                withManager(index, [=](auto &manager, auto &out) {
+                    manager.onServiceFailed(fetch.call, out);
                 });
             });
             return;
@@ -435,8 +435,8 @@
     void answerRead(std::size_t index, const fetch_from_service &fetch)
     {
         scheduleFor(index, delay(), [this, index, fetch, version = m_version, content = m_content] {
-            withKeeper(index, [=](auto &keeper, auto &out) {
-                keeper.onServiceRead(fetch.call, version, content, out);
+            withManager(index, [=](auto &manager, auto &out) {
+                manager.onServiceRead(fetch.call, version, content, out);
             });
         });
     }
@@ -461,23 +461,24 @@
         });
         if (ended == 0 || !at(index).running)
             return;
-        withKeeper(index, [=](auto &keeper, auto &out) { keeper.onServiceUnchanged(call, out); });
+        withManager(index,
+                    [=](auto &manager, auto &out) { manager.onServiceUnchanged(call, out); });
     }
 
-    /// Passes an input to a node's keeper, for a paused node after it has resumed.
+    /// Passes an input to a node's manager, for a paused node after it has resumed.
     template <class Input>
-    void withKeeper(std::size_t index, Input input)
+    void withManager(std::size_t index, Input input)
     {
         if (at(index).paused) {
             scheduleFor(index, milliseconds{20},
-                        [this, index, input] { withKeeper(index, input); });
+                        [this, index, input] { withManager(index, input); });
             return;
         }
         membership_actions noticed;
         at(index).members->detectPause(noticed);
         carryOut(index, noticed);
-        typename keeper_type::actions out;
-        input(*at(index).keeper, out);
+        typename manager_type::actions out;
+        input(*at(index).manager, out);
         carryOut(index, out);
     }
 
--- a/tests/core/control_plane_test.cpp
+++ b/tests/core/control_plane_test.cpp
@@ -1,4 +1,4 @@
-// Runs membership and configuration keepers of many nodes against each other under random faults.
+// Runs membership and configuration managers of many nodes against each other under random faults.
 #include "core/control_fake_network.h"
 
 #include <catch2/catch.hpp>
@@ -177,7 +177,7 @@
     settle(net, 40, 4);
     int killed = 0;
     for (std::size_t i = 0; i < net.size(); ++i) {
-        if (net.at(i).vm.dataCenter.value == "dc-0" && net.at(i).keeper->isReader()) {
+        if (net.at(i).vm.dataCenter.value == "dc-0" && net.at(i).manager->isReader()) {
             net.kill(i);
             ++killed;
         }
@@ -218,8 +218,8 @@
         net.start(i);
         net.run(10s);
         CAPTURE(i);
-        CHECK(net.at(i).keeper->readyToServe());
-        CHECK(net.at(i).keeper->stamp().version == 5);
+        CHECK(net.at(i).manager->readyToServe());
+        CHECK(net.at(i).manager->stamp().version == 5);
     }
     CHECK(net.inForce(5));
 }
@@ -238,8 +238,8 @@
         net.start(i);
         for (int step = 0; step < 400; ++step) {
             net.run(5ms);
-            const auto &keeper = *net.at(i).keeper;
-            servedStale = servedStale || (keeper.readyToServe() && keeper.stamp().version == 3);
+            const auto &manager = *net.at(i).manager;
+            servedStale = servedStale || (manager.readyToServe() && manager.stamp().version == 3);
         }
     }
     CHECK(servedStale);
@@ -263,7 +263,7 @@
         RC_ASSERT(net.agreed());
         RC_ASSERT(!anyRegressed(net));
         for (std::size_t i = 0; i < net.size(); ++i)
-            RC_ASSERT(net.at(i).keeper->readyToServe());
+            RC_ASSERT(net.at(i).manager->readyToServe());
     });
     std::cout << "control plane: " << events << " events\n";
 }
--- a/tests/core/failure_detector_test.cpp
+++ b/tests/core/failure_detector_test.cpp
@@ -79,11 +79,11 @@
     const risk_aware_suspicion_timeout threshold;
     suspicion_input view{microseconds{50'000}, microseconds{100'000}, microseconds{10'000'000},
                          0.0};
-    const microseconds relaxed = threshold.after(view);
+    const microseconds relaxed = threshold.suspicionTimeout(view);
     view.suspectedShare = 0.3;
-    const microseconds moreSuspected = threshold.after(view);
+    const microseconds moreSuspected = threshold.suspicionTimeout(view);
     view.slack = microseconds{300'000};
-    const microseconds urgent = threshold.after(view);
+    const microseconds urgent = threshold.suspicionTimeout(view);
     CHECK(moreSuspected < relaxed);
     CHECK(urgent < moreSuspected);
     CHECK(urgent > view.tail);
--- a/tests/core/leaving_server_set_test.cpp
+++ b/tests/core/leaving_server_set_test.cpp
@@ -13,8 +13,8 @@
 {
     manual_clock clock;
     leaving_server_set servers(clock);
-    CHECK(servers.note({Server, true}));
-    CHECK_FALSE(servers.note({Server, true}));
+    CHECK(servers.apply({Server, true}));
+    CHECK_FALSE(servers.apply({Server, true}));
     CHECK(servers.all() == std::vector<leaving_update>{{Server, true}});
 }
 
@@ -22,12 +22,12 @@
 {
     manual_clock clock;
     leaving_server_set servers(clock);
-    CHECK(servers.note({Server, true}));
+    CHECK(servers.apply({Server, true}));
     clock.advance(milliseconds{2000});
-    CHECK_FALSE(servers.note({Server, false}));
+    CHECK_FALSE(servers.apply({Server, false}));
     CHECK(servers.all().size() == 1);
     clock.advance(PastReportLag);
-    CHECK(servers.note({Server, false}));
+    CHECK(servers.apply({Server, false}));
     CHECK(servers.all().empty());
 }
 
@@ -35,5 +35,5 @@
 {
     manual_clock clock;
     leaving_server_set servers(clock);
-    CHECK_FALSE(servers.note({Server, false}));
+    CHECK_FALSE(servers.apply({Server, false}));
 }
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -157,13 +157,13 @@
     REQUIRE(net.at(2).pausesNoticed == 0);
     net.wake(2);
     CHECK(net.at(2).pausesNoticed == 1);
-    CHECK(net.at(2).keeper->needsConfirmation());
+    CHECK(net.at(2).manager->needsConfirmation());
     CHECK(net.at(2).members->lastPauseStart().has_value());
     const auto elapsed = net.runUntil([&] { return net.agreed(); }, 30s);
     CAPTURE(elapsed.count());
     CHECK(net.agreed());
     CHECK(net.at(2).deathsSeen == 0);
-    CHECK(net.at(2).keeper->readyToServe());
+    CHECK(net.at(2).manager->readyToServe());
 }
 
 // A generation starts from the time of day, so a clock that runs behind gives the new process a
--- a/tests/models/key_home.pml
+++ b/tests/models/key_home.pml
@@ -40,7 +40,7 @@
 /* Messages in flight: time of sending of the newest request, and of what the newest vote answers. */
 byte request[CANDIDATES] = NEVER;
 byte vote[CANDIDATES] = NEVER;
-byte freeSince[CANDIDATES] = NEVER; /* what that vote says: no promise to another since */
+byte noOtherPromiseSince[CANDIDATES] = NEVER; /* what that vote says: no promise to another since */
 
 /* Candidates. */
 byte counted[CANDIDATES] = NEVER; /* until when the vote counts */
@@ -97,7 +97,7 @@
 #ifdef WITHOUT_COVERAGE_AFTER_PROMISES
 #define COVERED_SINCE(c) 1
 #else
-#define COVERED_SINCE(c) (freeSince[c] > now -> now : freeSince[c])
+#define COVERED_SINCE(c) (noOtherPromiseSince[c] > now -> now : noOtherPromiseSince[c])
 #endif
 #ifdef WITHOUT_HANDOVER_WITHIN_LEASE
 #define INHERITS(c) (c == 1 && received)
@@ -171,7 +171,7 @@
         holder = c;
         until = now + LEASE;
         vote[c] = request[c];
-        freeSince[c] = otherUntil
+        noOtherPromiseSince[c] = otherUntil
     }
 }
 
@@ -301,7 +301,7 @@
         :: holder == c -> holder = NOBODY /* the promise lives on; the new process is another holder */
         :: else
         fi;
-        freeSince[c] = NEVER;
+        noOtherPromiseSince[c] = NEVER;
         request[c] = NEVER;
         vote[c] = NEVER;
         counted[c] = NEVER;
