--- a/src/core/node/node_control.h
+++ b/src/core/node/node_control.h
@@ -3,7 +3,7 @@
 #include "core/configuration/published_configuration.h"
 
 #include <orchidlead/clock.h>
-#include <orchidlead/configuration_keeper.h>
+#include <orchidlead/configuration_manager.h>
 #include <orchidlead/ids.h>
 #include <orchidlead/membership.h>
 
@@ -15,38 +15,38 @@
 
 namespace orchidlead {
 
-using published_keeper = configuration_keeper<published_configuration>;
+using published_configuration_manager = configuration_manager<published_configuration>;
 
-/// Action: the members changed, or the platform vouched for its list anew.
+/// Action: the members changed, or the platform confirmed its list again.
 struct members_updated
 {
     std::vector<member> members;
-    steady_time listConfirmedAt;
+    steady_time vmListConfirmedAt;
 };
 
 using control_action =
     std::variant<gossip_datagram, member_changed, paused, superseded, members_updated,
                  fetch_from_service, fetch_from_peer, adopt_configuration<published_configuration>,
-                 reject_configuration, keeper_report>;
+                 reject_configuration, configuration_event_report>;
 using control_actions = std::vector<control_action>;
 
-/// Settings of a node's control part.
+/// Settings of `node_control`.
 struct control_options
 {
     membership_options members;
-    keeper_options keeper;
+    configuration_manager_options manager;
 };
 
-/// Joins membership and the configuration keeper: what gossip brings goes to the keeper, and what
-/// the keeper decides goes out with the gossip. Deterministic, without I/O.
+/// Connects membership and the configuration manager: reports from gossip go to the manager, and
+/// the manager's decisions are sent with the gossip. Deterministic, without I/O.
 class node_control
 {
 public:
     node_control(const control_options &options, const clock_source &clock,
-                 published_keeper::validator validate);
+                 published_configuration_manager::validator validate);
 
-    void setListed(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
-    /// Takes that the platform said that its list is still that one.
+    void setVmList(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
+    /// Records the platform's confirmation that its list still has this version.
     void onListConfirmed(std::uint64_t version, control_actions &out);
     void onDatagram(const socket_address &from, std::string_view bytes, control_actions &out);
 
@@ -58,46 +58,46 @@
                        control_actions &out);
     void onPeerFailed(const vm_id &vm, control_actions &out);
 
-    /// Runs timers; call every 50 to 100 ms.
+    /// Runs due timers; call every 50 to 100 ms.
     void tick(control_actions &out);
-    /// Notices a pause; call before acting on anything that was known before.
-    void noticePause(control_actions &out);
+    /// Detects a pause of the process; call before acting on state that may be from before it.
+    void detectPause(control_actions &out);
 
     void announceLeaving(control_actions &out);
     void announceStopped(control_actions &out);
 
     /// Whether a configuration is in force that peers or the service confirmed since the start and
     /// since the last pause.
-    [[nodiscard]] bool readyToServe() const { return m_keeper.readyToServe(); }
-    [[nodiscard]] const published_keeper &keeper() const { return m_keeper; }
+    [[nodiscard]] bool readyToServe() const { return m_manager.readyToServe(); }
+    [[nodiscard]] const published_configuration_manager &manager() const { return m_manager; }
     [[nodiscard]] const membership &members() const { return m_members; }
 
 private:
-    void passOn(const membership_actions &actions, control_actions &out);
-    void passOn(published_keeper::actions &actions, control_actions &out);
+    void handleActions(const membership_actions &actions, control_actions &out);
+    void handleActions(published_configuration_manager::actions &actions, control_actions &out);
     void reportMembers(control_actions &out);
     [[nodiscard]] steady_time confirmedAt() const;
 
-    /// Runs one input of the membership and passes on what comes of it.
+    /// Runs one input of the membership and handles its actions.
     template <class Input>
     void feedMembers(Input &&input, control_actions &out)
     {
         membership_actions actions;
         input(actions);
-        passOn(actions, out);
+        handleActions(actions, out);
     }
 
-    /// Runs one input of the keeper and passes on what comes of it.
+    /// Runs one input of the manager and handles its actions.
     template <class Input>
-    void feedKeeper(Input &&input, control_actions &out)
+    void feedManager(Input &&input, control_actions &out)
     {
-        published_keeper::actions actions;
+        published_configuration_manager::actions actions;
         input(actions);
-        passOn(actions, out);
+        handleActions(actions, out);
     }
 
     membership m_members;
-    published_keeper m_keeper;
+    published_configuration_manager m_manager;
     steady_time m_reportedConfirmation;
 };
 
--- a/src/core/once/guards.h
+++ b/src/core/once/guards.h
@@ -4,11 +4,11 @@
 
 #include <concepts>
 
-/// Rules that must hold whatever the load. They are policies so that tests can take one out and
-/// show what it prevents; the daemon knows only the guarded ones.
+/// Rules that must hold under any load. They are policies, so that tests can disable one and show
+/// which failure it prevents. The daemon uses only the guarded policies.
 namespace orchidlead {
 
-/// Whether an answer belongs to the attempt that it arrived for.
+/// Decides whether an answer belongs to the attempt for which it arrived.
 template <class Guard>
 concept answer_guard = requires(const attempt_key &sent, const attempt_key &echoed)
 {
@@ -17,7 +17,7 @@
         } -> std::same_as<bool>;
 };
 
-struct echo_guard
+struct echoed_key_guard
 {
     static bool accepts(const attempt_key &sent, const attempt_key &echoed)
     {
@@ -25,14 +25,14 @@
     }
 };
 
-/// What is known of an attempt that ended without an answer.
+/// How an attempt without an answer ended.
 struct attempt_end
 {
     attempt_failure failure = attempt_failure::Broken;
-    bool sent = false; ///< a byte may have left this process
+    bool sent = false; ///< bytes may have been sent
 };
 
-/// Tells whether the end of an attempt proves that the backend server didn't run it.
+/// Whether the end of an attempt proves that the backend server did not run it.
 [[nodiscard]] constexpr bool provesNotRun(const attempt_end &end)
 {
     switch (end.failure) {
@@ -50,12 +50,12 @@
     return false;
 }
 
-/// Whether a stage may be tried again, and what an ended attempt proves.
+/// Decides whether a stage may be retried or hedged, and whether an ended attempt did not run.
 template <class Guard>
-concept repeat_guard = requires(const stage_plan &stage, const attempt_end &end)
+concept retry_guard = requires(const stage_plan &stage, const attempt_end &end)
 {
     {
-        Guard::mayTryAgain(stage, end)
+        Guard::mayRetry(stage, end)
         } -> std::same_as<bool>;
     {
         Guard::mayHedge(stage)
@@ -67,7 +67,7 @@
 
 struct at_most_once_guard
 {
-    static bool mayTryAgain(const stage_plan &stage, const attempt_end &end)
+    static bool mayRetry(const stage_plan &stage, const attempt_end &end)
     {
         return stage.repeatable || orchidlead::provesNotRun(end);
     }
@@ -75,7 +75,7 @@
     static bool provesNotRun(const attempt_end &end) { return orchidlead::provesNotRun(end); }
 };
 
-static_assert(answer_guard<echo_guard>);
-static_assert(repeat_guard<at_most_once_guard>);
+static_assert(answer_guard<echoed_key_guard>);
+static_assert(retry_guard<at_most_once_guard>);
 
 } // namespace orchidlead
--- a/tests/core/at_most_once_test.cpp
+++ b/tests/core/at_most_once_test.cpp
@@ -34,7 +34,7 @@
     return members;
 }
 
-// One VM alone is its own majority.
+// A VM that is listed alone forms a majority by itself.
 struct single_node
 {
     explicit single_node(at_most_once_settings settings = settingsOf("vm-0"))
@@ -51,14 +51,14 @@
         gate.tick(sent);
     }
 
-    once_request request(const std::string &random, milliseconds age = 0ms) const
+    non_repeatable_request request(const std::string &randomText, milliseconds age = 0ms) const
     {
         const auto issued = (clock.wallNow() - age).time_since_epoch();
-        once_request made;
+        non_repeatable_request made;
         made.customer = customer_id{"saare"};
         made.homeDataCenter = data_center_id{"dc"};
         made.key =
-            std::to_string(std::chrono::duration_cast<milliseconds>(issued).count()) + random;
+            std::to_string(std::chrono::duration_cast<milliseconds>(issued).count()) + randomText;
         made.deadline = clock.now() + 4s;
         return made;
     }
@@ -77,7 +77,7 @@
 }
 
 template <class Verdict>
-Verdict expect(const once_verdict &verdict)
+Verdict expect(const at_most_once_verdict &verdict)
 {
     const auto *refused = std::get_if<refuse_call>(&verdict);
     INFO("refused: " << (refused != nullptr ? refused->detail : "no"));
@@ -87,16 +87,17 @@
 
 } // namespace
 
-TEST_CASE("a resend attaches to the call in flight, and later gets its answer")
+TEST_CASE("a resend attaches to the call in flight and later gets its stored answer")
 {
     single_node node;
     const auto request = node.request("-a1b2c3d4");
-    const auto record = expect<run_here>(node.gate.onRequest(request)).record;
-    CHECK(expect<attach_to>(node.gate.onRequest(request)).record == record);
+    const auto record = expect<run_locally>(node.gate.onRequest(request)).record;
+    CHECK(expect<attach_to_call>(node.gate.onRequest(request)).record == record);
     CHECK(node.gate.mayDispatch(record));
     node.gate.onDispatched(record);
     node.gate.onFinished(record, answered("\"seat 12\""));
-    CHECK(*expect<give_answer>(node.gate.onRequest(request)).answer.output == "\"seat 12\"");
+    CHECK(*expect<return_stored_answer>(node.gate.onRequest(request)).answer.output
+          == "\"seat 12\"");
     CHECK_FALSE(node.gate.mayDispatch(record));
 }
 
@@ -104,40 +105,40 @@
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
-    expect<run_here>(node.gate.onRequest(request));
+    expect<run_locally>(node.gate.onRequest(request));
     request.digest = 99;
     const auto refused = expect<refuse_call>(node.gate.onRequest(request));
     CHECK(refused.outcome == outcome::NotRun);
     CHECK(refused.reason == refusal_reason::InvalidRequest);
 }
 
-TEST_CASE("two customers may draw the same key")
+TEST_CASE("two customers may use the same key")
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
-    const auto first = expect<run_here>(node.gate.onRequest(request)).record;
+    const auto first = expect<run_locally>(node.gate.onRequest(request)).record;
     request.customer = customer_id{"hiiu"};
-    CHECK_FALSE(expect<run_here>(node.gate.onRequest(request)).record == first);
+    CHECK_FALSE(expect<run_locally>(node.gate.onRequest(request)).record == first);
 }
 
-TEST_CASE("an answer that was evicted is neither given nor run again")
+TEST_CASE("a call whose answer was evicted is refused and not run again")
 {
     auto settings = settingsOf("vm-0");
     settings.maxAnswerBytes = 10;
     single_node node{settings};
     const auto request = node.request("-a1b2c3d4");
-    const auto record = expect<run_here>(node.gate.onRequest(request)).record;
+    const auto record = expect<run_locally>(node.gate.onRequest(request)).record;
     node.gate.onFinished(record, answered("\"longer than ten bytes\""));
     const auto refused = expect<refuse_call>(node.gate.onRequest(request));
     CHECK(refused.outcome == outcome::Failed);
     CHECK(refused.reason == refusal_reason::KeyInUse);
 }
 
-TEST_CASE("a key outside its window is never run, and its record is dropped")
+TEST_CASE("a key past its window is refused and its record is dropped")
 {
     single_node node;
     const auto request = node.request("-a1b2c3d4");
-    const auto record = expect<run_here>(node.gate.onRequest(request)).record;
+    const auto record = expect<run_locally>(node.gate.onRequest(request)).record;
     node.gate.onFinished(record, answered("1"));
     for (int second = 0; second < 610; ++second)
         node.step();
@@ -150,41 +151,41 @@
 TEST_CASE("a call past its deadline may not be sent")
 {
     single_node node;
-    const auto record = expect<run_here>(node.gate.onRequest(node.request("-a1b2c3d4"))).record;
+    const auto record = expect<run_locally>(node.gate.onRequest(node.request("-a1b2c3d4"))).record;
     node.clock.advance(4s);
     CHECK_FALSE(node.gate.mayDispatch(record));
 }
 
-TEST_CASE("a full gate refuses without promising that the call won't run")
+TEST_CASE("a gate without room for records refuses with the outcome unknown")
 {
     auto settings = settingsOf("vm-0");
     settings.maxRecords = 1;
     single_node node{settings};
-    expect<run_here>(node.gate.onRequest(node.request("-a1b2c3d4")));
+    expect<run_locally>(node.gate.onRequest(node.request("-a1b2c3d4")));
     const auto refused = expect<refuse_call>(node.gate.onRequest(node.request("-e5f6a7b8")));
     CHECK(refused.outcome == outcome::Unknown);
     CHECK(refused.reason == refusal_reason::Overloaded);
 }
 
-TEST_CASE("a ticket is forwarded to the VM that minted it, once")
+TEST_CASE("a ticket is forwarded to the VM that minted it but not forwarded twice")
 {
     single_node node;
-    once_request request;
+    non_repeatable_request request;
     request.ticket = "t.vm-9.ab.1";
     CHECK(expect<forward_to>(node.gate.onRequest(request)).vm == vm_id{"vm-9"});
     request.forwarded = true;
     CHECK(expect<refuse_call>(node.gate.onRequest(request)).outcome == outcome::Unknown);
 }
 
-TEST_CASE("a node that has just started accepts tickets and no bare key")
+TEST_CASE("a node that has just started accepts tickets but no idempotency keys")
 {
     manual_clock clock;
     at_most_once gate{settingsOf("vm-0"), clock};
     gate.setMembers(membersOf(1), clock.now());
-    once_request request;
+    non_repeatable_request request;
     request.ticket = gate.mintTicket();
     request.deadline = clock.now() + 4s;
-    expect<run_here>(gate.onRequest(request));
+    expect<run_locally>(gate.onRequest(request));
     request.ticket.reset();
     request.homeDataCenter = data_center_id{"dc"};
     const auto now =
@@ -195,7 +196,7 @@
     CHECK(refused.reason == refusal_reason::HomeUncertain);
 }
 
-TEST_CASE("a node that doesn't know the key's home data centre promises nothing")
+TEST_CASE("a key whose home data centre is unknown gets the outcome unknown")
 {
     single_node node;
     auto request = node.request("-a1b2c3d4");
@@ -203,7 +204,7 @@
     CHECK(expect<refuse_call>(node.gate.onRequest(request)).outcome == outcome::Unknown);
 }
 
-TEST_CASE("a VM that the platform doesn't list has no vote and no lease")
+TEST_CASE("a VM that the platform does not list holds no lease")
 {
     manual_clock clock;
     at_most_once gate{settingsOf("vm-0"), clock};
@@ -218,7 +219,7 @@
     CHECK(gate.heldShards() == 0);
 }
 
-TEST_CASE("malformed bytes of a peer are counted and dropped at every length")
+TEST_CASE("a peer message truncated at any length is dropped and counted as malformed")
 {
     single_node node;
     shard_handover handover;
@@ -231,12 +232,13 @@
     CHECK_FALSE(decodeKeyHomeMessage(bytes + "x").has_value());
 }
 
-// Leases of all shards go in one message to each peer. 28 bytes are the headers of IP and UDP.
-TEST_CASE("leases in a data centre of 50 VMs cost a node less than 1.5 KB a second")
+// A node requests the leases of all shards with one message per peer. The IP and UDP headers add 28
+// bytes to each message.
+TEST_CASE("lease messages in a data centre of 50 VMs take less than 1.5 KB per second and node")
 {
     constexpr std::size_t Vms = 50;
     constexpr int Seconds = 240;
-    constexpr int FromSecond = 200; // settled by then
+    constexpr int FromSecond = 200; // leases are stable by then
     constexpr std::size_t HeaderBytes = 28;
     manual_clock clock;
     std::vector<std::unique_ptr<at_most_once>> gates;
