--- a/src/gateway/codec.h
+++ b/src/gateway/codec.h
@@ -73,8 +73,8 @@
     std::string attempt; ///< attempt identifier of the client's request
     std::uint32_t stage = 0;
     std::uint32_t piece = 0; ///< index from 0
-    std::optional<milliseconds>
-        clientTimeout; ///< the server does not start the piece after this time
+    /// The server does not start the piece after this time.
+    std::optional<milliseconds> clientTimeout;
     std::string key; ///< `pieceKey`, for first stages only
     std::vector<std::string> inputs; ///< result handles; empty for first stages
     request_digest digest{}; ///< of the client's request; sent between nodes only, not to servers
--- a/src/gateway/exchange/exchange.h
+++ b/src/gateway/exchange/exchange.h
@@ -80,7 +80,7 @@
     void onDataCenterLost(const data_center_id &dataCenter);
     /// Refuses the request if it has not been sent to a server yet, because this process is about
     /// to stop.
-    void stopWaiting();
+    void refuseIfWaiting();
 
 private:
     /// How an attempt ended; determines whether it may be retried.
@@ -222,8 +222,8 @@
     bool m_done = false;
     request_log m_decisions;
     int m_clientStatus = 0; ///< status sent to the client; 0: none
-    std::optional<milliseconds>
-        m_timeToFirstEvent; ///< time from arrival to the first event sent to the client
+    /// Time from arrival to the first event sent to the client.
+    std::optional<milliseconds> m_timeToFirstEvent;
 
     std::optional<stage_progress> m_stageProgress;
     std::vector<std::chrono::microseconds> m_timesAfterStages; ///< estimated time after each stage
--- a/src/gateway/exchange/exchange_attempts_impl.h
+++ b/src/gateway/exchange/exchange_attempts_impl.h
@@ -62,7 +62,7 @@
 milliseconds exchange<Codec>::slack() const
 {
     const auto expected = m_context.latencyEstimator.firstAnswerTime(m_service);
-    const auto due = m_arrival + m_route->objective - expected;
+    const auto due = m_arrival + m_route->latencyObjective - expected;
     return std::max(milliseconds{0},
                     std::chrono::duration_cast<milliseconds>(due - m_context.loop.now()));
 }
@@ -163,7 +163,7 @@
     m_call = m_context.pool.start(m_server->record.address, std::move(call));
     if (m_route->repeatable())
         startIdleTimer(
-            std::chrono::duration_cast<milliseconds>(m_route->objective * UnansweredShare));
+            std::chrono::duration_cast<milliseconds>(m_route->latencyObjective * UnansweredShare));
 }
 
 template <gateway_codec Codec>
@@ -337,7 +337,7 @@
     logAttemptEnd(nameOf(what));
     if (what == attempt_result::NotRun) {
         if (m_answer.status == status::Misdirected)
-            server.gone = true;
+            server.removed = true;
         else if (m_answer.status == status::Conflict)
             m_needsStages = m_stageProgress.has_value() && !std::exchange(m_stagesRestarted, true);
     } else {
@@ -391,7 +391,8 @@
     if (m_done || m_call == 0)
         return;
     const auto silent = m_context.loop.now() - m_lastActivity;
-    auto limit = std::chrono::duration_cast<milliseconds>(m_route->objective * UnansweredShare);
+    auto limit =
+        std::chrono::duration_cast<milliseconds>(m_route->latencyObjective * UnansweredShare);
     if (m_headSent)
         limit = std::max(MinStreamIdleTime, 2 * m_route->pauseObjective.value_or(limit));
     if (silent < limit) {
--- a/src/gateway/exchange/exchange_impl.h
+++ b/src/gateway/exchange/exchange_impl.h
@@ -192,7 +192,7 @@
         return RetryDelay;
     return std::max(RetryDelay,
                     std::chrono::duration_cast<milliseconds>(predicted.timeToAnswer)
-                        - m_route->objective);
+                        - m_route->latencyObjective);
 }
 
 // Answers that no server has run the request and when to retry. Must not be called if a server may
@@ -239,7 +239,7 @@
 }
 
 template <gateway_codec Codec>
-void exchange<Codec>::stopWaiting()
+void exchange<Codec>::refuseIfWaiting()
 {
     if (!m_done && !m_headSent && m_call == 0)
         failRequest(request_outcome::Stopping);
--- a/src/gateway/exchange/exchange_log_impl.h
+++ b/src/gateway/exchange/exchange_log_impl.h
@@ -53,7 +53,7 @@
     if (m_customer)
         line.add("customer", m_customer->id.value);
     line.add("patience_ms", m_metadata.clientTimeout.value_or(milliseconds{0}).count());
-    line.add("objective_ms", m_route->objective.count());
+    line.add("objective_ms", m_route->latencyObjective.count());
     line.add("configuration", m_configuration->version());
     line.add("published_age_ms", std::chrono::duration_cast<milliseconds>(sinceUpdate).count());
     if (m_metadata.reservedFields > 0)
@@ -67,7 +67,7 @@
     if (!logsDecisions())
         return;
     const auto &spec = m_route->stages[stage];
-    const auto due = m_arrival + m_route->objective - m_timesAfterStages[stage];
+    const auto due = m_arrival + m_route->latencyObjective - m_timesAfterStages[stage];
     const auto softDeadlineLeft =
         std::chrono::duration_cast<milliseconds>(due - m_context.loop.now());
     auto line = lineOf(log_event::StageSubmitted);
@@ -85,7 +85,7 @@
     auto line = lineOf(log_event::AttemptSent);
     line.add("server", m_server->record.id.value).add("service", m_service.value);
     line.add("usable", m_context.directory.usable(m_service).size());
-    line.add("outstanding", m_server->outstanding).add("failures", m_server->failures);
+    line.add("outstanding", m_server->outstanding).add("failures", m_server->consecutiveFailures);
     if (m_server->load) {
         const auto age = m_context.loop.now() - m_server->loadReportedAt;
         line.add("running", m_server->load->running).add("waiting", m_server->load->waiting);
@@ -97,8 +97,8 @@
     if (now < m_server->backoffUntil)
         line.add("backoff_left_ms",
                  std::chrono::duration_cast<milliseconds>(m_server->backoffUntil - now).count());
-    if (m_server->refusals > 0)
-        line.add("refusals", m_server->refusals);
+    if (m_server->consecutiveRefusals > 0)
+        line.add("refusals", m_server->consecutiveRefusals);
     line.add("left_ms", timeLeft().count()).add("at_ms", sinceArrival().count());
     m_decisions.add(std::move(line));
 }
@@ -157,7 +157,7 @@
 bool exchange<Codec>::succeededInTime(request_outcome outcome) const
 {
     const bool inTime =
-        m_route && m_timeToFirstEvent.value_or(sinceArrival()) <= m_route->objective;
+        m_route && m_timeToFirstEvent.value_or(sinceArrival()) <= m_route->latencyObjective;
     return outcome == request_outcome::Answered && inTime && m_attempts <= 1 && !m_stagesRestarted;
 }
 
@@ -179,7 +179,7 @@
     if (m_timeToFirstEvent)
         line.add("first_event_ms", m_timeToFirstEvent->count());
     if (m_route)
-        line.add("objective_ms", m_route->objective.count());
+        line.add("objective_ms", m_route->latencyObjective.count());
     if (m_server)
         line.add("server", m_server->record.id.value);
     m_context.log.write(wire::log_level::Info, std::move(line));
--- a/src/gateway/exchange/exchange_stages_impl.h
+++ b/src/gateway/exchange/exchange_stages_impl.h
@@ -218,7 +218,7 @@
 bool exchange<Codec>::isPredictedLate() const
 {
     const auto predicted = m_context.latencyEstimator.forecastOf(outline());
-    return predicted.hasBacklog && predicted.timeToAnswer > m_route->objective;
+    return predicted.hasBacklog && predicted.timeToAnswer > m_route->latencyObjective;
 }
 
 template <gateway_codec Codec>
@@ -241,7 +241,7 @@
         ++submitted[stage];
         m_stageSubmittedAt[stage] = m_context.loop.now();
         job.rank = stageRank();
-        job.softDeadline = m_arrival + m_route->objective - m_timesAfterStages[stage];
+        job.softDeadline = m_arrival + m_route->latencyObjective - m_timesAfterStages[stage];
         job.deadline = m_deadline - m_timesAfterStages[stage];
         job.inputBytes = each.inputBytes;
         job.resultBytes = m_route->stages[stage].resultBytes;
@@ -302,7 +302,7 @@
 template <gateway_codec Codec>
 bool exchange<Codec>::mayRestartStages()
 {
-    const bool inTime = m_context.loop.now() < m_arrival + m_route->objective;
+    const bool inTime = m_context.loop.now() < m_arrival + m_route->latencyObjective;
     return inTime && !std::exchange(m_stagesRestarted, true);
 }
 
--- a/src/gateway/exchange/latency_estimator.cpp
+++ b/src/gateway/exchange/latency_estimator.cpp
@@ -20,7 +20,7 @@
 
 std::chrono::microseconds fullBatchCallTime(const stage_capacity &stage)
 {
-    return stage.callTime + stage.pieceTime * static_cast<int>(stage.batch);
+    return stage.callOverhead + stage.timePerPiece * static_cast<int>(stage.maxPiecesPerCall);
 }
 
 } // namespace
@@ -86,7 +86,8 @@
     if (!service || !service->stage)
         return RoundTripTime;
     const auto &stage = *service->stage;
-    return RoundTripTime + stage.callTime + stage.pieceTime * static_cast<int>(stage.batch) / 2;
+    return RoundTripTime + stage.callOverhead
+        + stage.timePerPiece * static_cast<int>(stage.maxPiecesPerCall) / 2;
 }
 
 std::vector<std::chrono::microseconds>
--- a/src/gateway/exchange/latency_estimator.h
+++ b/src/gateway/exchange/latency_estimator.h
@@ -65,8 +65,8 @@
     struct forecast
     {
         std::chrono::microseconds timeToAnswer{0}; ///< until the first answer, including the stages
-        bool hasBacklog =
-            false; ///< the wait for some stage is longer than a call with a full batch
+        /// The wait for some stage is longer than a call with a full batch.
+        bool hasBacklog = false;
     };
     [[nodiscard]] forecast forecastOf(const request_outline &request) const;
     /// Returns for each stage the time of everything that follows it: the later stages, then the
--- a/src/gateway/exchange/service_retry_budget.h
+++ b/src/gateway/exchange/service_retry_budget.h
@@ -45,9 +45,9 @@
     /// The retries of a service.
     struct usage
     {
-        std::uint32_t taken = 0; ///< in the window
-        double left = 0; ///< retries that may be taken now
-        std::uint32_t denied = 0; ///< since the last call of `takeUsage`
+        std::uint32_t taken = 0; ///< retries in the window
+        double left = 0; ///< further retries allowed now
+        std::uint32_t denied = 0; ///< retries denied since the last call of `takeUsage`
     };
     /// Returns the usage of each service that had requests, and resets the counts of denied
     /// retries.
--- a/src/gateway/exchange/startup_queue.cpp
+++ b/src/gateway/exchange/startup_queue.cpp
@@ -36,13 +36,13 @@
     return true;
 }
 
-std::vector<received_request> startup_queue::dequeueDue(bool prepared)
+std::vector<received_request> startup_queue::dequeueDue(bool releaseAll)
 {
     std::erase_if(m_heldRequests, [](const auto &each) { return !each.request.client->open(); });
     const auto now = m_clock.now();
     const auto firstDue =
         std::stable_partition(m_heldRequests.begin(), m_heldRequests.end(),
-                              [&](const auto &each) { return !prepared && now < each.until; });
+                              [&](const auto &each) { return !releaseAll && now < each.until; });
     std::vector<received_request> dueRequests;
     for (auto each = firstDue; each != m_heldRequests.end(); ++each)
         dueRequests.push_back(std::move(each->request));
--- a/src/gateway/exchange/startup_queue.h
+++ b/src/gateway/exchange/startup_queue.h
@@ -33,15 +33,16 @@
     /// Holds a request whose client waits for `clientTimeout`. Returns false and leaves `request`
     /// unchanged if it cannot be held.
     [[nodiscard]] bool tryEnqueue(received_request &request, milliseconds clientTimeout);
-    /// Removes and returns the requests to be served or refused now: all of them if the node is
-    /// `prepared`. Drops requests whose clients have disconnected.
-    [[nodiscard]] std::vector<received_request> dequeueDue(bool prepared);
+    /// Removes and returns the requests to be served or refused now: all of them if
+    /// `releaseAll` is set, else those whose time is up. Drops requests whose clients have
+    /// disconnected.
+    [[nodiscard]] std::vector<received_request> dequeueDue(bool releaseAll);
 
 private:
     struct held_request
     {
         received_request request;
-        steady_time until; ///< refused then if the node is still not prepared
+        steady_time until; ///< refused then if the node is still not ready
     };
 
     const clock_source &m_clock;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -33,7 +33,10 @@
 
 private:
     /// Whether the node has the configuration and server list that it needs to serve requests.
-    [[nodiscard]] bool prepared() const { return m_state.current() && m_state.hasServerList(); }
+    [[nodiscard]] bool hasPublishedState() const
+    {
+        return m_state.currentConfiguration() && m_state.hasServerList();
+    }
     void begin(received_request &&request);
     void releaseEarlyRequests();
 
@@ -41,7 +44,7 @@
     void onRequest(const http::inbound_ptr &client, http::request_head &&head, std::string &&body);
     void onReadinessRequest(const http::inbound_ptr &client, const http::request_head &head);
     void onConfiguration(const configuration_ptr &configuration);
-    void onPublicationEvent(const publication_event &news);
+    void onPublicationEvent(const publication_event &publicationEvent);
     void onAvoidanceChanged(const server &which, bool avoided);
     void onRateLimitChanged(const server &which, std::optional<double> before);
     void onLeavingAnnounced(const server &which);
--- a/src/gateway/gateway_impl.h
+++ b/src/gateway/gateway_impl.h
@@ -107,12 +107,16 @@
     , m_state(loop.clock(), m_directory, RemovalDelay)
     , m_follower(
           loop, m_pool, m_settings.store, m_state,
-          [this](const publication_event &news) { onPublicationEvent(news); }, log,
-          seedOf(m_settings.vm), storeOptionsFor(m_settings.bounds.publicationApply))
+          [this](const publication_event &publicationEvent) {
+              onPublicationEvent(publicationEvent);
+          },
+          log, seedOf(m_settings.vm), storeOptionsFor(m_settings.bounds.publicationApply))
     , m_relay(
           loop, m_peers, m_directory, m_state, m_follower,
-          [this](const publication_event &news) { onPublicationEvent(news); }, log,
-          seedOf(m_settings.vm))
+          [this](const publication_event &publicationEvent) {
+              onPublicationEvent(publicationEvent);
+          },
+          log, seedOf(m_settings.vm))
     , m_crashDetector(loop.clock())
     , m_context{loop,
                 m_pool,
@@ -157,7 +161,7 @@
     m_directory.setBackoffJitter([this] {
         return std::uniform_real_distribution<double>(0.0, MaxBackoffSpread)(m_context.random);
     });
-    m_follower.onRead([this](const store_update &news) { m_relay.onStoreUpdate(news); });
+    m_follower.onRead([this](const store_update &update) { m_relay.onStoreUpdate(update); });
     m_directory.onDataCenterAnswered([this](const data_center_id &from) {
         m_peers.onTraffic(from);
         m_peers.onServerResponse(from);
@@ -212,7 +216,7 @@
 template <gateway_codec Codec>
 bool gateway<Codec>::ready() const
 {
-    return prepared() && !m_stopping;
+    return hasPublishedState() && !m_stopping;
 }
 
 template <gateway_codec Codec>
@@ -228,14 +232,14 @@
         const auto clientTimeout = Codec::readRequest(request.head).clientTimeout;
         return m_startupQueue.tryEnqueue(request, clientTimeout.value_or(milliseconds{0}));
     };
-    if (prepared() || !tryHold())
+    if (hasPublishedState() || !tryHold())
         begin(std::move(request));
 }
 
 template <gateway_codec Codec>
 void gateway<Codec>::releaseEarlyRequests()
 {
-    for (auto &each : m_startupQueue.dequeueDue(prepared() || m_stopping))
+    for (auto &each : m_startupQueue.dequeueDue(hasPublishedState() || m_stopping))
         begin(std::move(each));
 }
 
@@ -272,7 +276,8 @@
     gateway_gauges now;
     now.ready = ready();
     now.storeConnected = m_relay.receivesChanges();
-    now.configurationVersion = m_state.current() ? m_state.current()->version() : 0;
+    now.configurationVersion =
+        m_state.currentConfiguration() ? m_state.currentConfiguration()->version() : 0;
     now.connections = m_clients->connections;
     now.answering = m_clients->answering;
     for (const auto &each : m_directory.all()) {
@@ -289,7 +294,7 @@
     now.members = m_peers.view().countByState();
     now.waitingPieces = m_stages.waiting();
     now.retries = m_retries;
-    now.placements = m_placer.open();
+    now.placements = m_placer.activeCount();
     now.publishedAge = age(m_state.lastContactAt());
     now.configurationAge = age(m_configurationSince);
     now.serverConnections = m_pool.opened();
@@ -316,13 +321,13 @@
 }
 
 template <gateway_codec Codec>
-void gateway<Codec>::onPublicationEvent(const publication_event &news)
+void gateway<Codec>::onPublicationEvent(const publication_event &publicationEvent)
 {
-    const auto level = news.kind == publication_event::event_type::Unreadable
+    const auto level = publicationEvent.kind == publication_event::event_type::Unreadable
         ? wire::log_level::Warning
         : wire::log_level::Info;
-    auto line = m_log.line(level, toName(news.kind));
-    line.add("subject", news.subject).add("detail", news.detail);
+    auto line = m_log.line(level, toName(publicationEvent.kind));
+    line.add("subject", publicationEvent.subject).add("detail", publicationEvent.detail);
     m_log.write(level, std::move(line));
 }
 
@@ -332,7 +337,7 @@
     const auto event = avoided ? log_event::ServerAvoided : log_event::ServerTrusted;
     auto line = m_log.line(wire::log_level::Info, toName(event));
     line.add("server", which.record.id.value).add("service", which.record.service.value);
-    line.add("failures", which.failures);
+    line.add("failures", which.consecutiveFailures);
     m_log.write(wire::log_level::Info, std::move(line));
 }
 
@@ -509,7 +514,7 @@
     const auto exchanges = m_exchanges;
     for (const auto &weak : exchanges) {
         if (const auto each = weak.lock())
-            each->stopWaiting();
+            each->refuseIfWaiting();
     }
 }
 
--- a/src/gateway/peers/peer_frame_reader.cpp
+++ b/src/gateway/peers/peer_frame_reader.cpp
@@ -243,11 +243,11 @@
     if (kind > static_cast<std::uint64_t>(placement_progress_frame::event_type::Ended))
         in.fail();
     frame.kind = static_cast<placement_progress_frame::event_type>(kind);
-    frame.signals.rateLimit.readable = in.read<bool>();
+    frame.signals.rateLimit.valid = in.read<bool>();
     frame.signals.rateLimit.perSecond = readLimit(in);
     frame.signals.leaving = in.read<bool>();
     frame.signals.refused = in.read<bool>();
-    frame.signals.taken = in.read<bool>();
+    frame.signals.accepted = in.read<bool>();
     return frame;
 }
 
@@ -287,8 +287,8 @@
     frame.configurationVersion = in.read<std::uint64_t>();
     frame.current = in.read<bool>();
     frame.age = in.duration();
-    frame.compared = in.read<bool>();
-    frame.parts = in.read<std::vector<std::uint32_t>>();
+    frame.fullSync = in.read<bool>();
+    frame.listedParts = in.read<std::vector<std::uint32_t>>();
     frame.revision = in.read<std::uint64_t>();
     readList(in, [&](field_reader &items) { frame.servers.push_back(readServer(items)); });
     frame.removed = readNames<std::vector<backend_server_id>>(in);
@@ -321,7 +321,7 @@
 follow_frame readFollow(field_reader &in)
 {
     follow_frame frame;
-    frame.begins = in.read<bool>();
+    frame.subscribes = in.read<bool>();
     frame.revision = in.read<std::uint64_t>();
     frame.known = readDigest(in);
     return frame;
--- a/src/gateway/peers/peer_frame_writer.cpp
+++ b/src/gateway/peers/peer_frame_writer.cpp
@@ -182,11 +182,11 @@
     packKind(out, frame_kind::PlacementProgress, 7);
     out.pack(frame.id);
     out.pack(static_cast<std::uint64_t>(frame.kind));
-    out.pack(frame.signals.rateLimit.readable);
+    out.pack(frame.signals.rateLimit.valid);
     packLimit(out, frame.signals.rateLimit.perSecond);
     out.pack(frame.signals.leaving);
     out.pack(frame.signals.refused);
-    out.pack(frame.signals.taken);
+    out.pack(frame.signals.accepted);
 }
 
 void pack(packer &out, const admission_request &frame)
@@ -255,8 +255,8 @@
     out.pack(frame.configurationVersion);
     out.pack(frame.current);
     packDuration(out, frame.age);
-    out.pack(frame.compared);
-    out.pack(frame.parts);
+    out.pack(frame.fullSync);
+    out.pack(frame.listedParts);
     out.pack(frame.revision);
     out.pack_array(ServerFields * static_cast<std::uint32_t>(frame.servers.size()));
     for (const auto &each : frame.servers)
@@ -270,7 +270,7 @@
 void pack(packer &out, const follow_frame &frame)
 {
     packKind(out, frame_kind::Follow, 3);
-    out.pack(frame.begins);
+    out.pack(frame.subscribes);
     out.pack(frame.revision);
     out.pack(frame.known);
 }
--- a/src/gateway/peers/peer_frames.h
+++ b/src/gateway/peers/peer_frames.h
@@ -139,8 +139,10 @@
     std::uint64_t configurationVersion = 0; ///< latest version known to the sender
     bool current = false; ///< the sender reads the store now, or follows a node that does
     milliseconds age{0}; ///< since the state was current; 0: the sender itself reads the store
-    bool compared = false; ///< with `parts` applied, the receiver knows all that the sender knows
-    std::vector<std::uint32_t> parts; ///< parts of which all servers are listed, not only changes
+    /// With `listedParts` applied, the receiver knows all that the sender knows.
+    bool fullSync = false;
+    /// Parts of the server list (`digestPartOf`) of which all servers are listed, not only changes.
+    std::vector<std::uint32_t> listedParts;
     std::uint64_t revision = 0; ///< store revision up to which the sender knows all changes
     std::vector<published_server> servers;
     std::vector<backend_server_id> removed; ///< applied after `servers`
@@ -149,10 +151,10 @@
 };
 
 /// Subscribes the sender to the receiver's published state: first to what the receiver knows beyond
-/// the revision, then to each change. Without `begins`, ends the subscription.
+/// the revision, then to each change.
 struct follow_frame
 {
-    bool begins = false; ///< whether the subscription begins
+    bool subscribes = false; ///< false: ends the subscription
     std::uint64_t revision = 0; ///< store revision up to which the sender knows all changes
     list_digest known{}; ///< digest of the servers that the sender knows
 };
--- a/src/gateway/peers/peer_network.cpp
+++ b/src/gateway/peers/peer_network.cpp
@@ -173,7 +173,7 @@
     };
     handlers.onClosed = [this](const std::shared_ptr<peer_link> &link) {
         if (const auto peer = peerOf(link)) {
-            avoid(*peer);
+            avoidPeer(*peer);
             m_links.erase(*peer);
         }
         m_events.onLinkClosed(link);
--- a/src/gateway/peers/peer_network.h
+++ b/src/gateway/peers/peer_network.h
@@ -76,7 +76,7 @@
     /// it.
     void onTraffic(const data_center_id &dataCenter) { m_view.onTraffic(dataCenter); }
     /// As `peer_view::avoid`.
-    void avoid(const vm_id &peer) { m_view.avoid(peer); }
+    void avoidPeer(const vm_id &peer) { m_view.avoidPeer(peer); }
     void setVersion(std::uint64_t version) { m_view.setVersion(version); }
     void announceLeaving();
     void announceStopped();
--- a/src/gateway/peers/peer_view.cpp
+++ b/src/gateway/peers/peer_view.cpp
@@ -161,7 +161,7 @@
     m_members.contact(takeRoundRobin(there, count, m_nextProbeIndex), out);
 }
 
-void peer_view::avoid(const vm_id &peer)
+void peer_view::avoidPeer(const vm_id &peer)
 {
     m_avoided[peer] = m_clock.now() + AvoidanceTime;
     invalidateRoles();
@@ -178,10 +178,10 @@
 vm_id peer_view::hostOf(const pool_key &pool)
 {
     auto &kept = m_hosts[pool];
-    if (kept.current)
+    if (kept.isValid)
         return kept.vm;
     const auto before = std::exchange(kept.vm, pickHost(pool));
-    kept.current = true;
+    kept.isValid = true;
     if (kept.vm != before)
         m_onHostChanged(pool, kept.vm);
     return kept.vm;
@@ -210,7 +210,7 @@
 void peer_view::invalidateRoles()
 {
     for (auto &[pool, kept] : m_hosts)
-        kept.current = false;
+        kept.isValid = false;
     m_relayOrder.clear();
     m_broadcastTargets.reset();
     m_quarantineHost.reset();
--- a/src/gateway/peers/peer_view.h
+++ b/src/gateway/peers/peer_view.h
@@ -56,7 +56,7 @@
     /// Reassigns roles after a member changed its state.
     void onMemberChanged() { invalidateRoles(); }
     /// Assigns no role to a peer for a while, since it did not answer.
-    void avoid(const vm_id &peer);
+    void avoidPeer(const vm_id &peer);
 
     [[nodiscard]] const vm_id &self() const { return m_identity.vm; }
     [[nodiscard]] const region_id &region() const { return m_identity.region; }
@@ -95,7 +95,7 @@
     struct cached_host
     {
         vm_id vm;
-        bool current = false;
+        bool isValid = false;
     };
 
     void contactSilentMembers(membership_actions &out);
--- a/src/gateway/placement/placement_board.h
+++ b/src/gateway/placement/placement_board.h
@@ -29,8 +29,8 @@
     bool admitted = false; ///< already admitted by the pool's host, before its stages
     std::vector<prompt_part> prompt; ///< parts in order; the last one belongs to the request alone
     data_center_id preferredDataCenter; ///< data centre that holds the inputs
-    std::uint64_t transferBytes =
-        0; ///< size of the inputs that would have to be moved to another data centre
+    /// Size of the inputs that would have to be moved to another data centre.
+    std::uint64_t transferBytes = 0;
     std::vector<backend_server_id> exclude; ///< servers already tried
     residency allowed;
 };
@@ -81,7 +81,8 @@
     void onFirstToken(placement_id id);
     void onEnd(placement_id id);
 
-    [[nodiscard]] std::size_t open() const { return m_placements.size(); }
+    /// Returns the number of placements whose requests have not ended.
+    [[nodiscard]] std::size_t activeCount() const { return m_placements.size(); }
 
 private:
     struct cached_part
--- a/src/gateway/placement/pool_admission.h
+++ b/src/gateway/placement/pool_admission.h
@@ -31,8 +31,8 @@
     {
         decaying_rate arrivals;
         decaying_rate refusals;
-        double admittedBacklog =
-            0.0; ///< admitted requests not yet worked off at the rank's share of the rate
+        /// Admitted requests not yet worked off at the rank's share of the rate.
+        double admittedBacklog = 0.0;
         steady_time updatedAt;
     };
 
--- a/src/gateway/placement/request_placer.cpp
+++ b/src/gateway/placement/request_placer.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds OtherRegionHostTimeout{140};
 // A data centre with at least this many engines reads shared prompts by itself. With fewer engines,
 // reading the parts in each data centre costs more than moving inputs.
-constexpr pool_split_limits EnginePoolWidths{8, 6};
+constexpr pool_split_limits EnginePoolSplitLimits{8, 6};
 // How long a host's report that all servers of a pool are rate-limited is valid. While there are
 // requests, each reply of the host renews or clears it.
 constexpr milliseconds AllRateLimitedLifetime{2000};
@@ -27,7 +27,7 @@
     , m_peers(peers)
     , m_directory(directory)
     , m_board(loop.clock(), directory)
-    , m_splitter(directory, EnginePoolWidths)
+    , m_splitter(directory, EnginePoolSplitLimits)
 {
     if (disabledPolicies.contains(policy::SplitPools))
         m_splitter.disableSplitting();
@@ -183,7 +183,7 @@
     return m_board.admit(query, m_peers.rateShare(query.pool));
 }
 
-// The host may choose a server that this node does not know yet, or knows to be gone.
+// The host may choose a server that this node does not know yet, or that this node has removed.
 void request_placer::onPlaced(const placed_frame &frame)
 {
     const auto found = m_pending.find(frame.id);
--- a/src/gateway/placement/request_placer.h
+++ b/src/gateway/placement/request_placer.h
@@ -14,7 +14,7 @@
 
 /// Has the host of a pool place requests on its servers, so that one board tracks the requests of
 /// all nodes. If the host does not answer in time, this node places the request from its own state,
-/// and never on a rate-limited server.
+/// but never on a rate-limited server.
 ///
 /// Rate limits reported in responses are sent to the host with the progress of the requests that it
 /// placed. A host that may not know this node's limits gets them before the first request.
@@ -29,7 +29,7 @@
 
     void setConfiguration(const configuration_ptr &configuration);
 
-    /// Returns the pool of a service for a request that is best done in `preferredDataCenter`.
+    /// Returns the pool of a service for a request that is best processed in `preferredDataCenter`.
     [[nodiscard]] pool_key poolFor(const service_id &service,
                                    const data_center_id &preferredDataCenter,
                                    const residency &allowed);
@@ -54,7 +54,7 @@
     void onLinkClosed(const std::shared_ptr<peer_link> &link);
     /// Returns the number of requests that this node placed, for itself or other nodes, and that
     /// have not ended.
-    [[nodiscard]] std::size_t open() const { return m_board.open(); }
+    [[nodiscard]] std::size_t activeCount() const { return m_board.activeCount(); }
 
 private:
     using link_ptr = std::shared_ptr<peer_link>;
@@ -122,8 +122,8 @@
     std::map<pool_key, steady_time> m_allRateLimited; ///< when the host's report expires
     std::uint64_t m_limitChanges = 0; ///< number of rate limit changes reported to this node
     std::map<pool_key, limits_recipient> m_limitsSentTo;
-    std::map<link_ptr, std::unordered_map<placement_id, hosted_placement>>
-        m_hosted; ///< by link and id of the other node
+    /// By link and id of the other node.
+    std::map<link_ptr, std::unordered_map<placement_id, hosted_placement>> m_hosted;
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/publication/configuration.h
+++ b/src/gateway/publication/configuration.h
@@ -51,7 +51,8 @@
     request_kind kind = request_kind::Safe;
     std::vector<weighted_service> services; ///< at least one
     milliseconds timeout{10'000}; ///< from arrival to the final answer
-    milliseconds objective{1000}; ///< latency for full credit; for streams, of the first event
+    /// Latency for full credit; for streams, of the first event.
+    milliseconds latencyObjective{1000};
     std::optional<milliseconds> pauseObjective; ///< for the longest pause between two events
     std::uint32_t maxAttempts = 1; ///< servers to which one request may be sent
     std::uint32_t priority = 0; ///< 0: the most urgent
@@ -71,13 +72,13 @@
 struct stage_capacity
 {
     std::uint32_t slots = 1; ///< concurrent calls
-    std::uint32_t queue = 0; ///< calls that may be queued
-    std::uint32_t batch = 1; ///< pieces per call
-    milliseconds callTime{0}; ///< fixed cost of a call, whatever its number of pieces
-    std::chrono::microseconds pieceTime{0}; ///< approximate cost of each piece
+    std::uint32_t maxQueuedCalls = 0;
+    std::uint32_t maxPiecesPerCall = 1;
+    milliseconds callOverhead{0}; ///< fixed cost of a call, whatever its number of pieces
+    std::chrono::microseconds timePerPiece{0}; ///< approximate
     std::uint64_t resultMemoryBytes = 0; ///< memory for results
-    milliseconds resultLifetime{
-        0}; ///< counted from the end of the stage call that computed the results
+    /// Counted from the end of the stage call that computed the results.
+    milliseconds resultLifetime{0};
 };
 
 /// Capacity of one backend server of a service for running models.
--- a/src/gateway/publication/configuration_relay.h
+++ b/src/gateway/publication/configuration_relay.h
@@ -37,7 +37,7 @@
     /// Returns the version in force on this node; 0 if none.
     [[nodiscard]] std::uint64_t ownVersion() const
     {
-        return m_state.current() ? m_state.current()->version() : 0;
+        return m_state.currentConfiguration() ? m_state.currentConfiguration()->version() : 0;
     }
 
 private:
--- a/src/gateway/publication/publication_relay.h
+++ b/src/gateway/publication/publication_relay.h
@@ -80,7 +80,7 @@
     void apply(const publication_frame &frame, const vm_id &reader);
     void applyAnswer(const publication_frame &frame);
     std::vector<publication_event> applyServers(const publication_frame &frame);
-    [[nodiscard]] bool readsStore() const { return m_state.hasServerList() && m_store.current(); }
+    [[nodiscard]] bool readsStore() const { return m_state.hasServerList() && m_store.isCurrent(); }
     /// Returns when a reader that this node follows last read the store; empty if that is longer
     /// ago than `SourceTimeout`.
     [[nodiscard]] std::optional<steady_time> sourcesCurrentAt() const;
@@ -113,9 +113,8 @@
     steady_time m_startedAt;
     milliseconds m_listTimeout; ///< after settling; then this node reads a long list itself
     std::size_t m_treeLevel = 0; ///< as of the last tick
-    std::optional<steady_time>
-        m_directReadNotBefore; ///< earliest time at which this node reads the store itself because
-                               ///< no source is current
+    /// Earliest time at which this node reads the store itself because no source is current.
+    std::optional<steady_time> m_directReadNotBefore;
     std::optional<steady_time> m_withoutSourceSince; ///< empty if a source is current
     configuration_relay<Codec> m_configurations;
     list_digest m_digest{}; ///< of the servers in the directory
--- a/src/gateway/publication/publication_relay_followers_impl.h
+++ b/src/gateway/publication/publication_relay_followers_impl.h
@@ -56,9 +56,9 @@
 publication_frame publication_relay<Codec>::makeDifference(const list_digest &known)
 {
     auto frame = makeDeferredRemovals();
-    frame.compared = true;
-    frame.parts = differingParts(known, ownDigest());
-    const std::set<std::uint32_t> parts(frame.parts.begin(), frame.parts.end());
+    frame.fullSync = true;
+    frame.listedParts = differingParts(known, ownDigest());
+    const std::set<std::uint32_t> parts(frame.listedParts.begin(), frame.listedParts.end());
     // The digest does not cover the cold state, which ends by itself.
     const auto now = m_loop.now();
     for (const auto &each : m_directory.all()) {
@@ -134,7 +134,7 @@
 template <gateway_codec Codec>
 void publication_relay<Codec>::forwardChanges(const publication_frame &frame)
 {
-    if (frame.compared) {
+    if (frame.fullSync) {
         sendDigest();
         return;
     }
@@ -194,7 +194,7 @@
 template <gateway_codec Codec>
 void publication_relay<Codec>::onFollow(const link_ptr &link, const follow_frame &frame)
 {
-    if (!frame.begins) {
+    if (!frame.subscribes) {
         m_followers.erase(link);
         return;
     }
--- a/src/gateway/publication/publication_relay_impl.h
+++ b/src/gateway/publication/publication_relay_impl.h
@@ -74,7 +74,7 @@
         m_store.readList(reader ? read_consistency::Latest : read_consistency::MayBeStale);
     // A reader whose store does not answer follows the other reader meanwhile.
     const bool mayFollow = m_store.complete() || m_store.listPending();
-    const bool follows = mayFollow && (!reader || !m_store.current());
+    const bool follows = mayFollow && (!reader || !m_store.isCurrent());
     follow(follows ? position.sources : std::vector<vm_id>{});
     setReading(!m_store.complete() || reader || shouldReadDirectly(position));
     m_store.setHasFollowers(!m_followers.empty());
@@ -233,9 +233,9 @@
         items.emplace_back(each);
     for (const auto &each : frame.removed)
         items.emplace_back(removed_server{each});
-    if (!frame.compared)
+    if (!frame.fullSync)
         return m_state.apply(items);
-    return m_state.applyParts(items, {frame.parts.begin(), frame.parts.end()});
+    return m_state.applyParts(items, {frame.listedParts.begin(), frame.listedParts.end()});
 }
 
 // Changes arrive in the order in which the reader received them. A change that this node already
@@ -249,7 +249,7 @@
     // A heartbeat contains a revision up to which nothing else happened. But a change may have been
     // lost with a closed link, so only frames with content advance the revision of this node.
     // Changes are useful only to a node that has the list.
-    const bool carriesChanges = frame.compared || (hasContent(frame) && m_state.hasServerList());
+    const bool carriesChanges = frame.fullSync || (hasContent(frame) && m_state.hasServerList());
     if (!carriesChanges || frame.revision <= m_store.revision())
         return;
     for (const auto &each : applyServers(frame))
@@ -267,7 +267,7 @@
     const bool newer = frame.current && frame.revision > m_store.revision();
     const bool hasMore = newer || (!m_state.hasServerList() && !frame.servers.empty());
     m_state.deferRemovals(frame.removalsDeferred);
-    if (!hasMore || !frame.compared || receivesChanges())
+    if (!hasMore || !frame.fullSync || receivesChanges())
         return;
     for (const auto &each : applyServers(frame))
         m_onEvent(each);
--- a/src/gateway/publication/published_state.h
+++ b/src/gateway/publication/published_state.h
@@ -80,7 +80,7 @@
         return m_deferred.contains(id);
     }
 
-    [[nodiscard]] const configuration_ptr &current() const { return m_configuration; }
+    [[nodiscard]] const configuration_ptr &currentConfiguration() const { return m_configuration; }
     /// Returns the text of the current configuration as it was published.
     [[nodiscard]] const std::string &configurationText() const { return m_configurationText; }
     /// Returns whether a list of servers, possibly an old one, has been applied.
--- a/src/gateway/publication/store_reader.h
+++ b/src/gateway/publication/store_reader.h
@@ -75,7 +75,7 @@
     }
     [[nodiscard]] std::uint64_t revision() const { return m_revision; }
     /// Returns whether this node reads the store and had an answer within `silenceTimeout`.
-    [[nodiscard]] bool current() const
+    [[nodiscard]] bool isCurrent() const
     {
         return m_reading && m_connected
             && m_loop.now() - m_lastAnswerAt <= m_options.silenceTimeout;
@@ -131,8 +131,8 @@
     std::vector<published_item> m_list; ///< pages read so far
     std::uint64_t m_revision = 0; ///< all changes up to this revision are known
     std::uint64_t m_listRevision = 0; ///< earliest revision of the pages read so far
-    bool m_complete =
-        false; ///< the complete state was read or received, and no reading of it has begun since
+    /// The complete state was read or received, and no reading of it has begun since.
+    bool m_complete = false;
     bool m_latest = false; ///< the state is not an old one: a watch can begin at `m_revision`
     std::optional<published_page> m_firstPage; ///< of servers, read before what operators published
     bool m_listPending = false;
--- a/src/gateway/quarantine/quarantine_relay.h
+++ b/src/gateway/quarantine/quarantine_relay.h
@@ -104,14 +104,14 @@
     peer_network &m_peers;
     wire::log &m_log;
     request_quarantine m_quarantine;
-    node_instance
-        m_syncedHost; ///< the host that has all information of this node; empty: possibly none
+    /// The host that has all information of this node; empty: possibly none.
+    node_instance m_syncedHost;
     link_ptr m_hostLink; ///< link used for `m_syncedHost`
     std::map<vm_id, synced_member> m_syncedMembers; ///< members that have all entries
-    std::unordered_map<request_digest, std::vector<pending_trial>>
-        m_pendingTrials; ///< awaiting an answer
-    std::unordered_map<request_digest, link_ptr>
-        m_ownTrialLinks; ///< link of the host that granted a trial to this node
+    /// Trials of this node that wait for an answer of the host.
+    std::unordered_map<request_digest, std::vector<pending_trial>> m_pendingTrials;
+    /// Links of the hosts that granted trials to this node.
+    std::unordered_map<request_digest, link_ptr> m_ownTrialLinks;
     std::map<link_ptr, std::set<request_digest>> m_remoteTrials; ///< trials granted to other nodes
     steady_time m_nextExpiry{};
 };
--- a/src/gateway/quarantine/request_quarantine.h
+++ b/src/gateway/quarantine/request_quarantine.h
@@ -88,8 +88,8 @@
     struct evidence
     {
         std::uint32_t crashCount = 0;
-        std::uint32_t attributedCrashCount =
-            0; ///< of `crashCount`, those attributed to the request
+        /// Of `crashCount`, those attributed to the request.
+        std::uint32_t attributedCrashCount = 0;
         std::vector<backend_server_id> servers; ///< in the order of their crashes
     };
     [[nodiscard]] evidence evidenceOf(const request_digest &request) const;
--- a/src/gateway/servers/pool_splitter.h
+++ b/src/gateway/servers/pool_splitter.h
@@ -47,8 +47,8 @@
 
     struct split_state
     {
-        std::uint64_t directoryChanges =
-            0; ///< value of `server_directory::changes()` at the last evaluation
+        /// Value of `server_directory::changes()` at the last evaluation.
+        std::uint64_t directoryChanges = 0;
         bool isSplit = false;
         std::map<data_center_id, std::size_t> servers; ///< usable servers
     };
@@ -61,8 +61,8 @@
 
     const server_directory &m_directory;
     pool_split_limits m_limits;
-    std::map<std::pair<service_id, region_id>, split_state>
-        m_splitStates; ///< the region is empty if there is only one
+    /// By service and region; the region is empty if there is only one.
+    std::map<std::pair<service_id, region_id>, split_state> m_splitStates;
 };
 
 } // namespace orchidlead::gateway
--- a/src/gateway/servers/rate_pacer.h
+++ b/src/gateway/servers/rate_pacer.h
@@ -33,8 +33,8 @@
     /// Requests sent to a server and not yet worked off at the rate of its limit.
     struct backlog
     {
-        double requests =
-            0.0; ///< at `updatedAt`; a fraction remains of a request partly worked off
+        /// Value at `updatedAt`; includes the remaining fraction of a request partly worked off.
+        double requests = 0.0;
         steady_time updatedAt;
     };
     [[nodiscard]] double backlogOf(const server &backend, double perSecond, steady_time now) const;
--- a/src/gateway/servers/server_directory.cpp
+++ b/src/gateway/servers/server_directory.cpp
@@ -26,13 +26,14 @@
 // Additional cost of sending to another region, in the same unit: a round trip there takes about 40
 // ms, longer than a request waits behind one that is running.
 constexpr double OtherRegionCost = 2.0;
-// Servers may have become cold while their data centre was evacuated. They publish so with one of
-// their next heartbeats, one to two seconds later; the store and its readers take another second.
+// How long servers are treated as cold after the evacuation of their data centre, in which they may
+// have become cold. They publish their cold phase with one of their next heartbeats, one to two
+// seconds later; the store and its readers take another second.
 constexpr milliseconds ColdReportDelay{3500};
 // A response younger than this shows that a server is running.
 constexpr milliseconds RecentAnswerWindow{2000};
 // Cost, for a retry, of a server without a recent response: the same as of a server whose slots are
-// all taken. A server that has ended looks idle until the published list is updated.
+// all taken. A server that has terminated looks idle until the published list is updated.
 constexpr double NoRecentAnswerCost = 1.0;
 // Cost of an avoided server: any other server is preferred.
 constexpr double AvoidedCost = 1e6;
@@ -40,7 +41,7 @@
 // Share of a cold server's rate that all nodes together send. The server may count more requests in
 // a second than were sent in one, since connections and busy nodes bunch requests. The platform
 // allows one and a half times the rate plus a few requests, so two nodes that each use the whole
-// share because neither knows of the other still stay within its limit.
+// share because neither knows of the other still stay within the limit of the platform.
 constexpr double ColdRateShare = 0.75;
 // Only the server's responses show that its limit has ended, so even a server with a limit of 0
 // gets one request every four seconds.
@@ -157,7 +158,7 @@
     if (found == m_servers.end())
         return;
     const auto entry = found->second;
-    entry->gone = true;
+    entry->removed = true;
     retainSignals(entry->record.start(), *entry);
     auto &servers = m_byService[entry->record.service];
     std::erase(servers.all, entry);
@@ -237,7 +238,7 @@
 server_ptr server_directory::findAt(const socket_address &address) const
 {
     for (const auto &[id, each] : m_servers) {
-        if (each->record.address == address && !each->gone)
+        if (each->record.address == address && !each->removed)
             return each;
     }
     return nullptr;
@@ -319,7 +320,7 @@
             continue;
         if (each->usable())
             return unavailability::None;
-        const bool isLeaving = !each->gone && !each->unreachable && each->isLeaving();
+        const bool isLeaving = !each->removed && !each->unreachable && each->isLeaving();
         if (each->evacuated && !each->isLeaving())
             reason = unavailability::Evacuated;
         else if (isLeaving && reason != unavailability::Evacuated)
@@ -424,8 +425,8 @@
 {
     onResponseBegin(backend);
     backend.lastAnswerAt = m_clock.now();
-    const bool wasAvoided = backend.failures >= FailuresBeforeAvoidance;
-    backend.failures = 0;
+    const bool wasAvoided = backend.consecutiveFailures >= FailuresBeforeAvoidance;
+    backend.consecutiveFailures = 0;
     backend.avoidUntil = {};
     if (wasAvoided && m_onAvoidanceChanged)
         m_onAvoidanceChanged(backend, false);
@@ -433,13 +434,13 @@
 
 void server_directory::onFailure(server &backend)
 {
-    ++backend.failures;
-    if (backend.failures < FailuresBeforeAvoidance)
+    ++backend.consecutiveFailures;
+    if (backend.consecutiveFailures < FailuresBeforeAvoidance)
         return;
     const auto doublings =
-        std::min(backend.failures - FailuresBeforeAvoidance, MaxAvoidanceDoublings);
+        std::min(backend.consecutiveFailures - FailuresBeforeAvoidance, MaxAvoidanceDoublings);
     backend.avoidUntil = m_clock.now() + InitialAvoidance * (1U << doublings);
-    if (backend.failures == FailuresBeforeAvoidance && m_onAvoidanceChanged)
+    if (backend.consecutiveFailures == FailuresBeforeAvoidance && m_onAvoidanceChanged)
         m_onAvoidanceChanged(backend, true);
 }
 
--- a/src/gateway/servers/server_directory.h
+++ b/src/gateway/servers/server_directory.h
@@ -27,8 +27,8 @@
 struct server_start
 {
     backend_server_id id;
-    std::optional<std::uint64_t>
-        startedAt; ///< start time in Unix milliseconds; empty: not published
+    /// Start time in Unix milliseconds; empty: not published.
+    std::optional<std::uint64_t> startedAt;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): taken for a comparison with a null pointer
     friend auto operator<=>(const server_start &, const server_start &) = default;
@@ -69,7 +69,7 @@
 {
     server_record record;
     region_id region; ///< region of its data centre; empty: unknown
-    bool gone = false; ///< no longer published, or another server uses its address
+    bool removed = false; ///< no longer published, or another server uses its address
     bool unreachable = false; ///< its data centre can't be reached
     bool evacuated = false; ///< operators have evacuated its data centre
     std::uint32_t outstanding = 0; ///< requests of this node in progress
@@ -77,15 +77,16 @@
     steady_time loadReportedAt{}; ///< time of the load report
     steady_time sentAt{}; ///< time of the last request from this node
     std::optional<steady_time> lastAnswerAt; ///< time of the last response to this node
-    std::uint32_t failures = 0; ///< consecutive
-    std::uint32_t refusals =
-        0; ///< consecutive; those that arrive while the server is already avoided count once
+    std::uint32_t consecutiveFailures = 0;
+    /// Refusals that arrive while the server is already avoided count once.
+    std::uint32_t consecutiveRefusals = 0;
     steady_time avoidUntil{}; ///< end of the avoidance after failures or refusals
     cold_start_settings coldStart; ///< settings of its service
-    steady_time
-        coldUntil{}; ///< end of the cold phase, in which the server can handle only few requests
-    double latencyRatio =
-        1.0; ///< moving average of actual time relative to expected time of its work
+    /// End of the cold phase, in which the server can handle only few requests.
+    steady_time coldUntil{};
+    /// Moving average of the actual duration of stage calls to the server, divided by the expected
+    /// one.
+    double latencyRatio = 1.0;
 
     /// Returns whether the server is in its cold phase, in which it crashes if it gets more
     /// requests than its service's settings allow.
@@ -108,7 +109,7 @@
     /// time right before bytes are sent.
     [[nodiscard]] bool usable() const
     {
-        return !gone && !unreachable && !evacuated && !isLeaving();
+        return !removed && !unreachable && !evacuated && !isLeaving();
     }
     /// Returns the time from which on this node may send requests to the server, as far as backoff
     /// and probing are concerned.
@@ -226,7 +227,7 @@
     /// Called by every path that receives responses when a response begins, whatever its status.
     void onSignals(server &backend, const server_signals &reported);
     /// Called when another node reports that this start is leaving; the start may not be published
-    /// here yet. Returns whether this node did not know so before.
+    /// here yet. Returns whether this is new to this node.
     bool onPeerReportedLeaving(const server_start &start);
     /// Returns all starts that are known to be leaving from responses, including those that were
     /// published until recently.
@@ -241,7 +242,7 @@
     void setUnreachable(const data_center_id &dataCenter, bool unreachable);
     /// Marks all servers of a data centre as evacuated, so that they get no new work, or ends the
     /// evacuation. After the evacuation the servers are treated as cold until they have had time to
-    /// publish that they are.
+    /// publish their cold phase.
     void setEvacuated(const data_center_id &dataCenter, bool evacuated);
     /// Returns the published servers of a data centre in turn, whatever their state; null if there
     /// is none.
@@ -301,8 +302,8 @@
     void onRefused(server &backend);
     void onRetryAfter(server &backend, milliseconds time);
     void retainSignals(const server_start &start, const retained_signals &signals);
-    /// Returns whether the signals of this start are still valid: it is published, or was until
-    /// recently.
+    /// Returns whether the signals of this start are still valid: the start is published, or was
+    /// until recently.
     [[nodiscard]] bool isTracked(const server_start &start) const;
     /// Updates all servers of a data centre.
     template <class Update>
--- a/src/gateway/servers/server_directory_signals.cpp
+++ b/src/gateway/servers/server_directory_signals.cpp
@@ -94,8 +94,8 @@
     return std::chrono::ceil<milliseconds>(first - now);
 }
 
-// Servers that refuse are skipped like servers in a backoff, as long as other servers are left: the
-// node that chooses on behalf of this one does not see the refusals.
+// Servers that refuse requests are skipped like servers in a backoff, as long as other servers are
+// left: the pool's host, which chooses servers for this node, does not see the refusals.
 std::vector<backend_server_id> server_directory::excludedServers(const service_id &service,
                                                                  const residency &allowed) const
 {
@@ -106,7 +106,7 @@
     for (const auto &each : servers) {
         if (!each->accepts(now))
             excluded.push_back(each->record.id);
-        else if (each->refusals > 0 && now < each->avoidUntil)
+        else if (each->consecutiveRefusals > 0 && now < each->avoidUntil)
             refusing.push_back(each->record.id);
     }
     if (excluded.size() + refusing.size() < servers.size())
@@ -117,12 +117,12 @@
 void server_directory::onRefused(server &backend)
 {
     const auto now = m_clock.now();
-    if (backend.refusals > 0 && now < backend.avoidUntil)
+    if (backend.consecutiveRefusals > 0 && now < backend.avoidUntil)
         return; // the request was sent before the last refusal was known
     auto time = InitialRefusalAvoidance;
-    for (std::uint32_t i = 0; i < std::min(backend.refusals, MaxRefusalGrowthSteps); ++i)
+    for (std::uint32_t i = 0; i < std::min(backend.consecutiveRefusals, MaxRefusalGrowthSteps); ++i)
         time *= RefusalAvoidanceGrowth;
-    ++backend.refusals;
+    ++backend.consecutiveRefusals;
     backend.avoidUntil = std::max(backend.avoidUntil, now + time);
 }
 
@@ -131,8 +131,9 @@
     const auto now = m_clock.now();
     if (now + time <= backend.backoffUntil)
         return;
-    const std::chrono::duration<double> spread = time * (m_backoffJitter ? m_backoffJitter() : 0.0);
-    backend.backoffUntil = now + time + std::chrono::ceil<milliseconds>(spread);
+    const std::chrono::duration<double> extension =
+        time * (m_backoffJitter ? m_backoffJitter() : 0.0);
+    backend.backoffUntil = now + time + std::chrono::ceil<milliseconds>(extension);
     backend.probing = true;
     if (m_onBackoff)
         m_onBackoff(backend, time);
@@ -166,8 +167,8 @@
     if (reported.refused)
         onRefused(backend);
     // A response that was already under way does not end a backoff that was requested since.
-    if (reported.taken) {
-        backend.refusals = 0;
+    if (reported.accepted) {
+        backend.consecutiveRefusals = 0;
         backend.probing = backend.probing && now < backend.backoffUntil;
     }
 }
@@ -180,7 +181,7 @@
 void server_directory::onRateLimit(server &backend, const reported_rate_limit &reported,
                                    steady_time receivedAt)
 {
-    if (!reported.readable || receivedAt < backend.rateLimitReportedAt)
+    if (!reported.valid || receivedAt < backend.rateLimitReportedAt)
         return;
     backend.rateLimitReportedAt = receivedAt;
     if (reported.perSecond == backend.rateLimit)
--- a/src/gateway/servers/server_signals.h
+++ b/src/gateway/servers/server_signals.h
@@ -18,9 +18,9 @@
 /// The rate limit reported in a response.
 struct reported_rate_limit
 {
-    std::optional<double>
-        perSecond; ///< requests per second from all nodes together; empty: not limited
-    bool readable = true; ///< false: the response has no valid report of the limit
+    /// Requests per second from all nodes together; empty: not limited.
+    std::optional<double> perSecond;
+    bool valid = true; ///< false: the response has no valid report of the limit
 };
 
 /// What a response reports about its server, apart from the result of the request.
@@ -29,9 +29,9 @@
     reported_rate_limit rateLimit{};
     bool leaving = false; ///< the server shuts down soon and takes no new requests
     bool refused = false; ///< the server did not run the request, for a reason of its own
-    bool taken = false; ///< the server accepted the request and has not failed it
-    std::optional<milliseconds> retryAfter{}; ///< requested backoff: the server wants no request
-                                              ///< from this node for this time
+    bool accepted = false; ///< the server accepted the request and has not failed it
+    /// Requested backoff: the server wants no request from this node for this time.
+    std::optional<milliseconds> retryAfter{};
     std::optional<server_load> load{};
 };
 
--- a/src/gateway/stages/stage_host.h
+++ b/src/gateway/stages/stage_host.h
@@ -87,7 +87,7 @@
         http::pool_call call = 0;
         http::timer_id timer = 0;
         steady_time startedAt;
-        bool withheld = false; ///< the server stopped accepting calls before this was sent
+        bool withheld = false; ///< the server stopped accepting calls before the call was sent
     };
 
     stage_pool &poolOf(const pool_key &key);
--- a/src/gateway/stages/stage_host_frees_impl.h
+++ b/src/gateway/stages/stage_host_frees_impl.h
@@ -10,8 +10,8 @@
 /// The part of `stage_host` that frees results at the servers that hold them.
 namespace orchidlead::gateway {
 
-/// How long handles to be freed are collected into one request per server: a request for each would
-/// cost more than its room is worth.
+/// How long handles to be freed are collected into one request per server: a request for each
+/// handle would cost more than the freed room is worth.
 inline constexpr milliseconds FreeBatchDelay{15};
 /// Timeout of a request that frees results. Results that aren't freed expire.
 inline constexpr milliseconds FreeTimeout{1000};
--- a/src/gateway/stages/stage_host_impl.h
+++ b/src/gateway/stages/stage_host_impl.h
@@ -77,7 +77,8 @@
     m_pending.erase(found);
 }
 
-// Posted, so that all pieces of a request are submitted before a call is formed.
+// The dispatch is posted to the loop, so that all pieces of a request are submitted before a call
+// is formed.
 template <gateway_codec Codec>
 void stage_host<Codec>::scheduleDispatch(const pool_key &key)
 {
@@ -277,7 +278,7 @@
                && (active.metadata.notExecuted || active.status == Misdirected)) {
         end = stage_call_end::NotRun;
         if (active.status == Misdirected)
-            call.server->gone = true;
+            call.server->removed = true;
     }
     if (end == stage_call_end::Answered)
         m_directory.onAnswer(*call.server);
--- a/src/gateway/stages/stage_pool.cpp
+++ b/src/gateway/stages/stage_pool.cpp
@@ -89,7 +89,7 @@
 // time of a call alone.
 bool stage_pool::isLate(const piece_task &job, steady_time now) const
 {
-    return job.softDeadline < now + m_capacity.callTime;
+    return job.softDeadline < now + m_capacity.callOverhead;
 }
 
 bool stage_pool::precedes(const piece_task &a, const piece_task &b, const data_center_id &at,
@@ -111,7 +111,7 @@
 
 std::chrono::microseconds stage_pool::expectedTime(std::size_t pieces) const
 {
-    return m_capacity.callTime + m_capacity.pieceTime * static_cast<int>(pieces);
+    return m_capacity.callOverhead + m_capacity.timePerPiece * static_cast<int>(pieces);
 }
 
 std::vector<server_ptr> stage_pool::idleServers(const std::vector<server_ptr> &servers,
@@ -164,7 +164,7 @@
     const bool bounded = m_capacity.resultMemoryBytes > 0;
     std::uint64_t room =
         m_capacity.resultMemoryBytes > heldBytes ? m_capacity.resultMemoryBytes - heldBytes : 0;
-    std::size_t freePlaces = std::max(1U, m_capacity.batch);
+    std::size_t freePlaces = std::max(1U, m_capacity.maxPiecesPerCall);
     std::vector<piece_task> taken;
     std::vector<piece_task> left;
     for (std::size_t begin = 0; begin < m_waiting.size();) {
@@ -176,7 +176,7 @@
         if (mayWait && waitsForLocalServer(m_waiting[begin], chosen, now))
             fitting = 0;
         const bool keepsTogether = m_clock.now() - m_waiting[begin].submittedAt < MaxGroupWait;
-        if (fitting < end - begin && keepsTogether && end - begin <= m_capacity.batch)
+        if (fitting < end - begin && keepsTogether && end - begin <= m_capacity.maxPiecesPerCall)
             fitting = 0;
         freePlaces -= fitting;
         room -= std::min<std::uint64_t>(room, bytes * fitting);
@@ -191,7 +191,7 @@
 steady_time stage_pool::localWaitEnd(const piece_task &job) const
 {
     return std::min(job.submittedAt + MaxLocalWait,
-                    job.softDeadline - expectedTime(m_capacity.batch));
+                    job.softDeadline - expectedTime(m_capacity.maxPiecesPerCall));
 }
 
 bool stage_pool::waitsForLocalServer(const piece_task &job, const server &chosen,
@@ -218,7 +218,7 @@
     // When more pieces wait than all servers take at once, none waits for a local server, so that
     // no server is idle in a burst.
     const bool mayWait =
-        m_waitsForLocalServer && m_waiting.size() <= servers.size() * m_capacity.batch;
+        m_waitsForLocalServer && m_waiting.size() <= servers.size() * m_capacity.maxPiecesPerCall;
     for (const auto &each : idleServers(servers, first->preferredDataCenter)) {
         auto jobs = takeBatch(*each, mayWait);
         if (!jobs.empty())
@@ -387,7 +387,8 @@
 {
     const auto now = m_clock.now();
     const std::chrono::duration<double> callDuration = fullCallTime();
-    const double capacity = std::max(1.0, servers * m_capacity.batch) / callDuration.count();
+    const double capacity =
+        std::max(1.0, servers * m_capacity.maxPiecesPerCall) / callDuration.count();
     double left = capacity;
     for (const auto &[other, arrivals] : m_arrivals)
         left -= other < rank ? UrgentArrivalWeight * arrivals.perSecond(now) : 0.0;
@@ -418,11 +419,11 @@
     std::vector<bool> late;
     late.reserve(m_waiting.size());
     for (auto &job : m_waiting) {
-        auto begins = now + estimateWait(ahead, job.rank, servers);
+        auto callStart = now + estimateWait(ahead, job.rank, servers);
         if (job.request.inputs.empty() && !job.admitted)
-            begins += std::chrono::duration_cast<std::chrono::microseconds>(
-                expectedTime(m_capacity.batch) * AdmissionSlackCalls);
-        late.push_back(isLate(job, begins));
+            callStart += std::chrono::duration_cast<std::chrono::microseconds>(
+                expectedTime(m_capacity.maxPiecesPerCall) * AdmissionSlackCalls);
+        late.push_back(isLate(job, callStart));
         job.admitted = job.admitted || !late.back();
         ahead += late.back() ? 0 : 1;
     }
@@ -435,7 +436,7 @@
     const auto now = m_clock.now();
     const auto late = findLatePieces(servers);
     const auto inTime = static_cast<double>(std::ranges::count(late, false));
-    const bool crowded = inTime > servers * m_capacity.batch;
+    const bool crowded = inTime > servers * m_capacity.maxPiecesPerCall;
     std::vector<piece_task> left;
     left.reserve(m_waiting.size());
     for (std::size_t i = 0; i < m_waiting.size(); ++i) {
--- a/src/gateway/stages/stage_pool.h
+++ b/src/gateway/stages/stage_pool.h
@@ -36,9 +36,10 @@
     std::size_t resultBytes = 0; ///< approximate
     steady_time submittedAt{};
     std::uint32_t tries = 0; ///< calls that included the piece
-    bool admitted = false; ///< was predicted to be in time
+    bool admitted = false; ///< the piece was predicted to meet its `softDeadline`
     residency allowed; ///< regions; not sent to the host, as each pool is in one region
-    bool mayChangePool = false; ///< if no server is reachable; not sent to the host
+    /// The piece may move to another pool if no server is reachable. Not sent to the host.
+    bool mayChangePool = false;
 };
 
 /// A call to be started now.
@@ -131,7 +132,7 @@
     /// Fails all waiting pieces, as the pool's servers accept no new work.
     [[nodiscard]] std::vector<piece_outcome> failAll(piece_failure reason);
     /// Fails pieces that may change to another pool, if all `servers` are paused after a failure or
-    /// there are none. `servers` are all usable servers of the pool.
+    /// `servers` is empty. `servers` are all usable servers of the pool.
     [[nodiscard]] std::vector<piece_outcome> failUnreached(const std::vector<server_ptr> &servers);
     /// Fails pieces whose inputs are in an unreachable data centre.
     [[nodiscard]] std::vector<piece_outcome> failWithInputsIn(const data_center_id &dataCenter);
@@ -140,7 +141,7 @@
     /// Returns the expected duration of a full call.
     [[nodiscard]] std::chrono::microseconds fullCallTime() const
     {
-        return expectedTime(m_capacity.batch);
+        return expectedTime(m_capacity.maxPiecesPerCall);
     }
     /// Returns when `nextCall` may return a call without another event in between.
     [[nodiscard]] std::optional<steady_time> wakeAt() const;
@@ -205,7 +206,7 @@
     service_id m_service;
     service_retry_budget &m_retryBudget;
     stage_capacity m_capacity;
-    std::function<bool(const request_digest &)> m_mayRetry; ///< if empty, always
+    std::function<bool(const request_digest &)> m_mayRetry; ///< if empty, retries are allowed
     bool m_waitsForLocalServer = true;
     std::vector<piece_task> m_waiting;
     std::map<stage_rank, decaying_rate> m_arrivals;
--- a/src/gateway/stages/stage_router.h
+++ b/src/gateway/stages/stage_router.h
@@ -39,8 +39,8 @@
     [[nodiscard]] pool_key poolFor(const service_id &service,
                                    const data_center_id &preferredDataCenter,
                                    const residency &allowed = {});
-    /// Returns how long all pools of a service are backing off, as reported by their hosts because
-    /// their servers asked for it. Empty if one of them accepts pieces.
+    /// Returns how long all pools of a service are backing off, as reported by their hosts, because
+    /// the servers requested a backoff. Empty if one of them accepts pieces.
     [[nodiscard]] std::optional<milliseconds> backoffOf(const service_id &service,
                                                         const data_center_id &preferredDataCenter,
                                                         const residency &allowed);
@@ -48,7 +48,8 @@
     void onServersChanged(const service_id &service);
     piece_token submit(const service_id &service, piece_task &&job, piece_handler &&handler);
     void withdraw(piece_token token);
-    /// Frees results through the hosts of their pools, which account for them.
+    /// Frees results through the hosts of their pools, which track the room that the results
+    /// occupy.
     void freeResults(const std::vector<std::string> &handles);
 
     /// Handles frames about pieces, and pings; ignores others.
@@ -70,15 +71,16 @@
         std::uint32_t moves = 0;
     };
 
-    /// Backoff of a pool whose servers asked its host for it, or couldn't be reached.
+    /// Backoff of a pool whose servers requested one from its host, or could not be reached.
     struct backed_off_pool
     {
         vm_id host;
         steady_time until;
     };
 
-    /// Returns the pool of `poolFor` unless it is backing off. Otherwise returns another pool that
-    /// isn't, preferably that of this node's data centre; if there is none, that of `poolFor`.
+    /// Returns the result of `poolFor` unless that pool is backing off. Otherwise returns a pool
+    /// that is not backing off, preferably the one of this node's data centre; if all are, returns
+    /// the result of `poolFor`.
     [[nodiscard]] pool_key availablePoolFor(const service_id &service,
                                             const data_center_id &preferredDataCenter,
                                             const residency &allowed);
@@ -91,9 +93,11 @@
     bool moveFromClosedPool(piece_token token, submission &entry);
     /// Avoids the piece's host for a while, and sends the piece to the next candidate.
     void avoidUnreadyHost(piece_token token, submission &entry);
-    /// Returns the pool of this node's data centre if it can take the piece and isn't its pool.
+    /// Returns the pool of this node's data centre if that pool can take the piece and the piece is
+    /// in another one.
     [[nodiscard]] std::optional<pool_key> ownDataCenterPool(const submission &entry);
-    /// Moves a piece to the pool of this node's data centre; returns false if it can't take it.
+    /// Moves a piece to the pool of this node's data centre; returns false if that pool can't
+    /// take the piece.
     [[nodiscard]] bool moveToOwnDataCenter(piece_token token, submission &entry);
     /// Routes a piece again after `delay`, never within the handler of its outcome.
     void routePieceLater(piece_token token, submission &entry, milliseconds delay);
@@ -111,8 +115,8 @@
     stage_sharing m_sharing;
     pool_splitter m_splitter;
     std::unordered_map<piece_token, submission> m_submissions;
-    std::map<link_ptr, std::unordered_map<piece_token, piece_token>>
-        m_hostedPieces; ///< by link, from the peer's token to that of `m_host`
+    /// By link, from the peer's token to that of `m_host`.
+    std::map<link_ptr, std::unordered_map<piece_token, piece_token>> m_hostedPieces;
     std::map<pool_key, backed_off_pool> m_backedOffPools;
     piece_token m_lastToken = 0;
 };
--- a/src/gateway/stages/stage_router_impl.h
+++ b/src/gateway/stages/stage_router_impl.h
@@ -17,11 +17,11 @@
 /// calls with fewer pieces exceeds that of transferring results between data centres. Pools are
 /// split from three servers on and joined again below two.
 inline constexpr pool_split_limits StagePoolSplitLimits{3, 2};
-/// Delay before a piece is sent again to a host that sees its servers leaving or evacuated while
-/// this node doesn't yet. Nodes exchange such updates within a few ticks.
+/// Delay before a piece is sent again to a host that reports its servers as leaving or evacuated
+/// while this node still considers them usable. Nodes exchange such updates within a few ticks.
 inline constexpr milliseconds ServerUpdateDelay{150};
-/// How long a pool whose servers couldn't be reached gets no pieces. By then it is known whether
-/// its data centre is cut off.
+/// How long a pool whose servers couldn't be reached gets no pieces. After this time it is known
+/// whether the data centre of the pool is cut off.
 inline constexpr milliseconds UnreachablePoolPause{500};
 /// After this many moves a piece stays with this node's `stage_host`.
 inline constexpr std::uint32_t MaxMoves = 2;
@@ -235,7 +235,7 @@
 }
 
 // Connections to a data centre that is cut off are refused at once, but the data centre is declared
-// lost only after a while.
+// lost only after a while. Pieces are moved without waiting for that.
 template <gateway_codec Codec>
 bool stage_router<Codec>::moveToOwnDataCenter(piece_token token, submission &entry)
 {
@@ -254,7 +254,7 @@
 void stage_router<Codec>::avoidUnreadyHost(piece_token token, submission &entry)
 {
     if (const auto host = m_peers.peerOf(entry.link))
-        m_peers.avoid(*host);
+        m_peers.avoidPeer(*host);
     ++entry.moves;
     routePiece(token, entry);
 }
--- a/tests/gateway/latency_estimator_test.cpp
+++ b/tests/gateway/latency_estimator_test.cpp
@@ -20,9 +20,9 @@
     service_spec service;
     service.id = service_id("rerank");
     service.stage = stage_capacity{};
-    service.stage->batch = 10;
-    service.stage->callTime = milliseconds{200};
-    service.stage->pieceTime = milliseconds{10};
+    service.stage->maxPiecesPerCall = 10;
+    service.stage->callOverhead = milliseconds{200};
+    service.stage->timePerPiece = milliseconds{10};
     return service;
 }
 
@@ -99,7 +99,7 @@
     staged_world()
     {
         clock.advance(std::chrono::seconds{60});
-        routeSpec.objective = milliseconds{1000};
+        routeSpec.latencyObjective = milliseconds{1000};
         routeSpec.stages = {stage_spec{service_id("rerank"), {}, 100}};
         orchidlead::gateway::configuration content;
         content.services = {makeService()};
--- a/tests/gateway/peer_frames_test.cpp
+++ b/tests/gateway/peer_frames_test.cpp
@@ -58,9 +58,9 @@
 
 TEST_CASE("an outcome frame keeps a result handle or a failure reason")
 {
-    const piece_outcome_frame made{1, {std::string("h/1"), milliseconds{70}}};
-    CHECK(std::get<std::string>(roundTrip(made).report.result) == "h/1");
-    CHECK(roundTrip(made).report.wait == milliseconds{70});
+    const piece_outcome_frame original{1, {std::string("h/1"), milliseconds{70}}};
+    CHECK(std::get<std::string>(roundTrip(original).report.result) == "h/1");
+    CHECK(roundTrip(original).report.wait == milliseconds{70});
     for (const auto &row : enumNames<piece_failure>) {
         INFO("reason " << row.name);
         const auto read = roundTrip(piece_outcome_frame{1, {row.value, milliseconds{0}}});
@@ -73,7 +73,7 @@
 TEST_CASE("a list of twenty thousand servers is decoded whole from a third of its bytes")
 {
     publication_frame frame;
-    frame.compared = true;
+    frame.fullSync = true;
     std::mt19937 random(5);
     for (std::uint32_t i = 0; i < 20'000; ++i) {
         server_record record;
@@ -124,8 +124,8 @@
     frame.age = milliseconds{120};
     frame.configurationVersion = 17;
     frame.current = true;
-    frame.compared = true;
-    frame.parts = {3, 63};
+    frame.fullSync = true;
+    frame.listedParts = {3, 63};
     frame.revision = 1ULL << 40U;
     frame.removed = {backend_server_id("gone")};
     frame.removalsDeferred = milliseconds{2300};
@@ -149,8 +149,8 @@
     CHECK(read.configurationVersion == 17);
     CHECK(read.current);
     CHECK(read.age == milliseconds{120});
-    CHECK(read.compared);
-    CHECK(read.parts == frame.parts);
+    CHECK(read.fullSync);
+    CHECK(read.listedParts == frame.listedParts);
     CHECK(read.revision == 1ULL << 40U);
     CHECK(read.removed == frame.removed);
     CHECK(read.removalsDeferred == milliseconds{2300});
@@ -160,10 +160,10 @@
 {
     list_digest known{};
     known[3] = 0xfffffffe;
-    CHECK(roundTrip(follow_frame{true, 7, known}).begins);
+    CHECK(roundTrip(follow_frame{true, 7, known}).subscribes);
     CHECK(roundTrip(follow_frame{true, 7, known}).revision == 7);
     CHECK(roundTrip(follow_frame{true, 7, known}).known == known);
-    CHECK_FALSE(roundTrip(follow_frame{}).begins);
+    CHECK_FALSE(roundTrip(follow_frame{}).subscribes);
     CHECK(roundTrip(list_digest_frame{8, known}).revision == 8);
     CHECK(roundTrip(list_digest_frame{8, known}).known == known);
     CHECK(roundTrip(publication_request{7, known}).known == known);
@@ -176,8 +176,8 @@
     for (int i = 0; i < 2000; ++i)
         text += R"({"name":"route-)" + std::to_string(i) + R"("},)";
     CHECK(roundTrip(configuration_request{17}).version == 17);
-    const configuration_frame made{19, compress(text)};
-    const auto read = roundTrip(made);
+    const configuration_frame original{19, compress(text)};
+    const auto read = roundTrip(original);
     CHECK(read.version == 19);
     const auto back = decompress(read.text, MaxFrameBytes);
     REQUIRE(back);
@@ -208,7 +208,7 @@
     CHECK(placed.allRateLimited);
     const auto silent =
         roundTrip(placement_progress_frame{3, placement_progress_frame::event_type::Ended});
-    CHECK_FALSE(silent.signals.rateLimit.readable);
+    CHECK_FALSE(silent.signals.rateLimit.valid);
     server_signals signals;
     signals.rateLimit.perSecond = 2.5;
     signals.leaving = true;
@@ -218,10 +218,10 @@
         placement_progress_frame{3, placement_progress_frame::event_type::FirstToken, signals});
     CHECK(progress.signals.leaving);
     CHECK(progress.signals.refused);
-    CHECK_FALSE(progress.signals.taken);
+    CHECK_FALSE(progress.signals.accepted);
     // A retry delay applies only to the node that received it, so it is not sent.
     CHECK_FALSE(progress.signals.retryAfter);
-    CHECK(progress.signals.rateLimit.readable);
+    CHECK(progress.signals.rateLimit.valid);
     CHECK(progress.signals.rateLimit.perSecond == 2.5);
     CHECK_FALSE(
         roundTrip(placement_progress_frame{3, placement_progress_frame::event_type::Ended, {}})
--- a/tests/gateway/peer_view_test.cpp
+++ b/tests/gateway/peer_view_test.cpp
@@ -254,7 +254,7 @@
     auto &view = fleet.view(0);
     const pool_key pool{service_id("stage"), data_center_id("dc-1")};
     const auto host = view.hostOf(pool);
-    view.avoid(host);
+    view.avoidPeer(host);
     CHECK(view.hostOf(pool) != host);
     fleet.run(milliseconds{1700});
     CHECK(view.hostOf(pool) == host);
--- a/tests/gateway/placement_board_test.cpp
+++ b/tests/gateway/placement_board_test.cpp
@@ -92,7 +92,7 @@
     w.board.onEnd(1);
     w.board.onEnd(1);
     w.board.onFirstToken(77);
-    CHECK(w.board.open() == 0);
+    CHECK(w.board.activeCount() == 0);
 }
 
 TEST_CASE("placements whose end was not reported expire")
@@ -101,7 +101,7 @@
     (void)w.board.place(1, makeQuery({{"p", 500}}));
     w.clock.advance(std::chrono::seconds{61});
     (void)w.board.place(2, makeQuery({{"q", 500}}));
-    CHECK(w.board.open() == 1);
+    CHECK(w.board.activeCount() == 1);
 }
 
 TEST_CASE("the least recently used parts are evicted when an engine is full")
@@ -162,7 +162,7 @@
     const auto none = w.board.place(4, query, 1.0);
     CHECK_FALSE(none.server);
     CHECK(none.wait == milliseconds{2000});
-    CHECK(w.board.open() == 4);
+    CHECK(w.board.activeCount() == 4);
 }
 
 TEST_CASE("a board without a share of the limits places nothing on rate-limited servers")
--- a/tests/gateway/published_state_test.cpp
+++ b/tests/gateway/published_state_test.cpp
@@ -54,9 +54,9 @@
     w.state.apply({makeConfiguration(7)});
     const auto events = w.state.apply({makeConfiguration(5)});
     CHECK(contains(events, publication_event::event_type::ConfigurationOlder));
-    CHECK(w.state.current()->version() == 7);
+    CHECK(w.state.currentConfiguration()->version() == 7);
     w.state.apply({makeConfiguration(9)});
-    CHECK(w.state.current()->version() == 9);
+    CHECK(w.state.currentConfiguration()->version() == 9);
     CHECK(w.state.configurationText() == "text 9");
 }
 
@@ -66,7 +66,7 @@
     w.state.apply({makeConfiguration(7)});
     const auto events = w.state.apply({unreadable_item{"configuration", "no version"}});
     CHECK(contains(events, publication_event::event_type::Unreadable));
-    CHECK(w.state.current()->version() == 7);
+    CHECK(w.state.currentConfiguration()->version() == 7);
 }
 
 TEST_CASE("a removal is applied at once while the store is reachable")
--- a/tests/gateway/server_directory_test.cpp
+++ b/tests/gateway/server_directory_test.cpp
@@ -91,7 +91,7 @@
     directory.put(leaving);
     CHECK(directory.choose(wishFor()) == nullptr);
     directory.put(makeRecord("s2"));
-    directory.find(backend_server_id("s2"))->gone = true;
+    directory.find(backend_server_id("s2"))->removed = true;
     CHECK(directory.choose(wishFor()) == nullptr);
 }
 
@@ -155,7 +155,7 @@
     directory.put(record);
     REQUIRE(directory.findAt(record.address));
     CHECK(directory.findAt(record.address)->record.id.value == "s9");
-    CHECK(old->gone);
+    CHECK(old->removed);
 }
 
 TEST_CASE("the start and the end of avoiding a server are each reported once")
@@ -232,7 +232,7 @@
     record.startedAt = 1'000;
     directory.put(record);
     const auto earlier = directory.find(record.id);
-    earlier->gone = true;
+    earlier->removed = true;
     earlier->outstanding = 3;
     earlier->latencyRatio = 5.0;
     directory.onFailure(*earlier);
@@ -244,7 +244,7 @@
     REQUIRE(later);
     CHECK(later != earlier);
     CHECK(later->outstanding == 0);
-    CHECK(later->failures == 0);
+    CHECK(later->consecutiveFailures == 0);
     CHECK(later->latencyRatio == 1.0);
     SECTION("a late record of the earlier start is ignored")
     {
@@ -278,7 +278,7 @@
 server_signals taken()
 {
     server_signals signals;
-    signals.taken = true;
+    signals.accepted = true;
     return signals;
 }
 
--- a/tests/gateway/stage_pool_load_test.cpp
+++ b/tests/gateway/stage_pool_load_test.cpp
@@ -24,9 +24,9 @@
 stage_capacity makeCapacity()
 {
     stage_capacity capacity;
-    capacity.batch = 8;
-    capacity.callTime = milliseconds{200};
-    capacity.pieceTime = std::chrono::microseconds{21'000};
+    capacity.maxPiecesPerCall = 8;
+    capacity.callOverhead = milliseconds{200};
+    capacity.timePerPiece = std::chrono::microseconds{21'000};
     return capacity;
 }
 
@@ -65,10 +65,10 @@
     {
         m_pool.setCapacity(makeCapacity());
         for (std::size_t i = 0; i < servers; ++i) {
-            auto made = std::make_shared<server>();
-            made->record.id = backend_server_id("s" + std::to_string(i));
-            made->record.dataCenter = data_center_id("dc");
-            m_servers.push_back(made);
+            auto added = std::make_shared<server>();
+            added->record.id = backend_server_id("s" + std::to_string(i));
+            added->record.dataCenter = data_center_id("dc");
+            m_servers.push_back(added);
         }
     }
 
@@ -121,8 +121,8 @@
         for (const auto &each : m_pool.expire(m_servers.size()))
             recordOutcome(each);
         while (const auto call = m_pool.nextCall(m_servers)) {
-            const auto work = makeCapacity().callTime
-                + makeCapacity().pieceTime * static_cast<int>(call->pieces.size());
+            const auto work = makeCapacity().callOverhead
+                + makeCapacity().timePerPiece * static_cast<int>(call->pieces.size());
             m_running.push_back({*call, m_clock.now() + work});
         }
         m_clock.advance(Step);
--- a/tests/gateway/stage_pool_test.cpp
+++ b/tests/gateway/stage_pool_test.cpp
@@ -16,9 +16,9 @@
 stage_capacity makeCapacity()
 {
     stage_capacity capacity;
-    capacity.batch = 4;
-    capacity.callTime = milliseconds{200};
-    capacity.pieceTime = std::chrono::milliseconds{10};
+    capacity.maxPiecesPerCall = 4;
+    capacity.callOverhead = milliseconds{200};
+    capacity.timePerPiece = std::chrono::milliseconds{10};
     capacity.resultMemoryBytes = 6 * PieceBytes;
     capacity.resultLifetime = milliseconds{4000};
     return capacity;
@@ -307,7 +307,7 @@
     const auto only = std::make_shared<server>();
     only->record.id = backend_server_id("s0");
     stage_capacity capacity = makeCapacity();
-    capacity.batch = 100;
+    capacity.maxPiecesPerCall = 100;
     capacity.resultMemoryBytes = 0;
     // The first piece is the most urgent, and becomes late at a different time of the sort in each
     // iteration. The last piece belongs directly behind it.
@@ -324,7 +324,8 @@
             job.rank.priority = Priorities[i];
             job.softDeadline = begin + std::chrono::seconds{1};
             if (i == 0)
-                job.softDeadline = begin + capacity.callTime + std::chrono::microseconds{moment};
+                job.softDeadline =
+                    begin + capacity.callOverhead + std::chrono::microseconds{moment};
             job.deadline = begin + std::chrono::seconds{5};
             pool.submit(job);
         }
@@ -376,8 +377,8 @@
     }
     SECTION("and goes to another data centre when a full call would just meet its soft deadline")
     {
-        const auto fullCall = makeCapacity().callTime
-            + makeCapacity().pieceTime * static_cast<int>(makeCapacity().batch);
+        const auto fullCall = makeCapacity().callOverhead
+            + makeCapacity().timePerPiece * static_cast<int>(makeCapacity().maxPiecesPerCall);
         softDeadline = std::chrono::duration_cast<milliseconds>(fullCall) + milliseconds{30};
         submitAt("due", 1'000'000);
         CHECK_FALSE(w.pool.nextCall(w.servers));
@@ -400,7 +401,7 @@
     }
     SECTION("and doesn't wait if more pieces wait than the servers take at once")
     {
-        const auto round = w.servers.size() * makeCapacity().batch;
+        const auto round = w.servers.size() * makeCapacity().maxPiecesPerCall;
         while (w.pool.waiting() < round)
             submitAt("r" + std::to_string(w.pool.waiting()), 1'000'000);
         CHECK_FALSE(w.pool.nextCall(w.servers));
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -214,14 +214,14 @@
     };
     CHECK(read("2.5").perSecond == 2.5);
     CHECK(read("0").perSecond == 0.0);
-    CHECK(codec::readAnswer({}).server.rateLimit.readable);
+    CHECK(codec::readAnswer({}).server.rateLimit.valid);
     CHECK_FALSE(codec::readAnswer({}).server.rateLimit.perSecond);
     for (const auto *wrong : {"", "many", "-1", "inf", "nan", "1,5", "1 a second"}) {
         INFO("limit: " << wrong);
-        CHECK_FALSE(read(wrong).readable);
+        CHECK_FALSE(read(wrong).valid);
     }
     // A different server at the same address.
-    CHECK_FALSE(read("2.5", 421).readable);
+    CHECK_FALSE(read("2.5", 421).valid);
 }
 
 TEST_CASE("only the value 1 of the leaving header marks a server as leaving")
@@ -460,7 +460,7 @@
     CHECK(content.routes[1].anonymous);
     REQUIRE(content.services.size() == 2);
     CHECK(content.services[0].engine->tokenCapacity == 286093);
-    CHECK(content.services[1].stage->pieceTime == std::chrono::microseconds{7800});
+    CHECK(content.services[1].stage->timePerPiece == std::chrono::microseconds{7800});
     CHECK(content.services[1].stage->resultMemoryBytes == 2'800'000);
     CHECK(content.services[1].stage->resultLifetime == milliseconds{4000});
     CHECK(content.limits.idleTimeout == milliseconds{15'000});
