--- a/tests/gateway/configuration_test.cpp
+++ b/tests/gateway/configuration_test.cpp
@@ -9,11 +9,11 @@
 
 route makeRoute(const std::string &name, const std::string &host, const std::string &prefix)
 {
-    route made;
-    made.name = name;
-    made.host = host;
-    made.pathPrefix = prefix;
-    return made;
+    route result;
+    result.name = name;
+    result.host = host;
+    result.pathPrefix = prefix;
+    return result;
 }
 
 configuration_index makeIndex()
--- a/tests/gateway/list_digest_test.cpp
+++ b/tests/gateway/list_digest_test.cpp
@@ -18,13 +18,13 @@
 {
     std::vector<server_ptr> servers;
     for (int i = 0; i < count; ++i) {
-        auto made = std::make_shared<server>();
-        made->record.id = backend_server_id("i-" + std::to_string(i));
-        made->record.service = service_id("s");
-        made->record.address = {"10.0.0.1", static_cast<std::uint16_t>(80 + i)};
-        made->record.dataCenter = data_center_id("dc-1");
-        made->record.slots = 4;
-        servers.push_back(made);
+        auto added = std::make_shared<server>();
+        added->record.id = backend_server_id("i-" + std::to_string(i));
+        added->record.service = service_id("s");
+        added->record.address = {"10.0.0.1", static_cast<std::uint16_t>(80 + i)};
+        added->record.dataCenter = data_center_id("dc-1");
+        added->record.slots = 4;
+        servers.push_back(added);
     }
     return servers;
 }
--- a/tests/gateway/pool_admission_test.cpp
+++ b/tests/gateway/pool_admission_test.cpp
@@ -18,7 +18,7 @@
 
 struct counts
 {
-    int asked = 0;
+    int attempts = 0;
     int admitted = 0;
     milliseconds maxRetryAfter{0};
 };
@@ -36,7 +36,7 @@
             for (; due[rank] >= 1.0; due[rank] -= 1.0) {
                 const auto retryAfter = pool.tryAdmit(rank, PerSecond);
                 auto &count = results[rank];
-                ++count.asked;
+                ++count.attempts;
                 count.admitted += retryAfter == milliseconds{0} ? 1 : 0;
                 count.maxRetryAfter = std::max(count.maxRetryAfter, retryAfter);
             }
@@ -60,14 +60,14 @@
 TEST_CASE("all requests are admitted below the servers' rate")
 {
     const auto results = simulate({{Urgent, 8.0}, {LessUrgent, 8.0}}, std::chrono::seconds{20});
-    CHECK(results.at(Urgent).admitted == results.at(Urgent).asked);
-    CHECK(results.at(LessUrgent).admitted == results.at(LessUrgent).asked);
+    CHECK(results.at(Urgent).admitted == results.at(Urgent).attempts);
+    CHECK(results.at(LessUrgent).admitted == results.at(LessUrgent).attempts);
 }
 
 TEST_CASE("more urgent requests go first, and others get the remaining rate")
 {
     const auto results = simulate({{Urgent, 12.0}, {LessUrgent, 33.0}}, std::chrono::seconds{20});
-    CHECK(results.at(Urgent).admitted == results.at(Urgent).asked);
+    CHECK(results.at(Urgent).admitted == results.at(Urgent).attempts);
     CHECK(results.at(LessUrgent).admitted >= 5 * 20);
     CHECK(results.at(LessUrgent).admitted <= 8 * 20);
 }
--- a/tests/gateway/text_compression_test.cpp
+++ b/tests/gateway/text_compression_test.cpp
@@ -42,12 +42,12 @@
 
 TEST_CASE("decompress rejects a text above the size limit or with a wrong length")
 {
-    auto made = compress(manyRoutes(100));
-    CHECK_FALSE(decompress(made, made.length - 1));
-    made.length += 1;
-    CHECK_FALSE(decompress(made, MaxBytes));
-    made.length -= 2;
-    CHECK_FALSE(decompress(made, MaxBytes));
+    auto compressed = compress(manyRoutes(100));
+    CHECK_FALSE(decompress(compressed, compressed.length - 1));
+    compressed.length += 1;
+    CHECK_FALSE(decompress(compressed, MaxBytes));
+    compressed.length -= 2;
+    CHECK_FALSE(decompress(compressed, MaxBytes));
 }
 
 TEST_CASE("corrupt compressed bytes result in an error or in the original text")
