--- a/tests/platform/backoff_test.cpp
+++ b/tests/platform/backoff_test.cpp
@@ -194,12 +194,12 @@
     w.seconds = "1";
     w.refusing = {"i-1"};
     w.load("/p/x", milliseconds{400});
-    const auto asked = w.clock.now();
+    const auto loadEndedAt = w.clock.now();
     w.runFor(milliseconds{1300}); // the backoff is over for all nodes
     for (int i = 0; i < 40; ++i)
         w.send("/p/x");
     w.awaitAllRequests();
-    CHECK(w.arrivalsSince("i-1", asked) <= FleetNodes.size());
+    CHECK(w.arrivalsSince("i-1", loadEndedAt) <= FleetNodes.size());
 }
 
 // Guards against requests whose server was chosen before it requested a backoff, and that are sent
--- a/tests/platform/cold_start_test.cpp
+++ b/tests/platform/cold_start_test.cpp
@@ -55,9 +55,10 @@
     {
         std::vector<std::shared_ptr<client_answer>> answers;
         for (int i = 0; i < count; ++i) {
-            auto head = makeRequest("POST", path, "r" + std::to_string(++m_asked));
+            auto head = makeRequest("POST", path, "r" + std::to_string(++m_requestCount));
             // No prompt part is shared, so the engine with the lowest load is preferred.
-            head.fields.push_back({"X-Prefix-Hash", "own" + std::to_string(m_asked) + ":4000"});
+            head.fields.push_back(
+                {"X-Prefix-Hash", "own" + std::to_string(m_requestCount) + ":4000"});
             answers.push_back(request("g1", head, "prompt"));
             runFor(milliseconds{20});
         }
@@ -71,7 +72,7 @@
     fake_server &coldPlain = addServer("web", "i-2", "z", ColdTime);
 
 private:
-    int m_asked = 0;
+    int m_requestCount = 0;
 };
 
 } // namespace
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -22,7 +22,7 @@
     int ask(const std::string &gateway = "g1")
     {
         const auto answer =
-            request(gateway, makeRequest("GET", "/p/x", "a" + std::to_string(++m_asked)));
+            request(gateway, makeRequest("GET", "/p/x", "a" + std::to_string(++m_requestCount)));
         CHECK(await(answer));
         return answer->status;
     }
@@ -40,7 +40,7 @@
     fake_server &serverInY = addServer("web", "i-2", "y");
 
 private:
-    int m_asked = 0;
+    int m_requestCount = 0;
 };
 
 } // namespace
--- a/tests/platform/forwarding_test.cpp
+++ b/tests/platform/forwarding_test.cpp
@@ -301,7 +301,7 @@
     plain_world w("unsafe", 1);
     w.setBehaviour([](const server_request &, const std::shared_ptr<server_answer> &) {});
     const auto answer = std::make_shared<client_answer>();
-    const auto call = w.begin("g1", makeRequest("POST", "/p/", "a1"), "x", answer);
+    const auto call = w.startRequest("g1", makeRequest("POST", "/p/", "a1"), "x", answer);
     REQUIRE(w.runUntil([&] { return w.arrivals() == 1; }));
     w.pool.abandon(call);
     CHECK(w.runUntil([&] { return w.first.openConnections() + w.second.openConnections() == 0; },
--- a/tests/platform/loaded_fleet.cpp
+++ b/tests/platform/loaded_fleet.cpp
@@ -119,8 +119,8 @@
 {
     REQUIRE(runUntil([&] {
         recordEnds();
-        return std::ranges::all_of(requests,
-                                   [](const asked &each) { return each.endedAt.has_value(); });
+        return std::ranges::all_of(
+            requests, [](const fleet_request &each) { return each.endedAt.has_value(); });
     }));
 }
 
@@ -134,7 +134,7 @@
 
 std::size_t loaded_fleet::lateRefusals() const
 {
-    return static_cast<std::size_t>(std::ranges::count_if(requests, [](const asked &each) {
+    return static_cast<std::size_t>(std::ranges::count_if(requests, [](const fleet_request &each) {
         return each.answer->status == 503 && *each.endedAt - each.at > ImmediateRefusalLimit;
     }));
 }
@@ -142,7 +142,7 @@
 std::size_t loaded_fleet::answeredWith(int status) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(
-        requests, [&](const asked &each) { return each.answer->status == status; }));
+        requests, [&](const fleet_request &each) { return each.answer->status == status; }));
 }
 
 std::size_t loaded_fleet::arrivalsSince(const std::string &id, steady_time since) const
--- a/tests/platform/loaded_fleet.h
+++ b/tests/platform/loaded_fleet.h
@@ -25,7 +25,7 @@
 
 struct loaded_fleet : world
 {
-    struct asked
+    struct fleet_request
     {
         std::string node;
         std::shared_ptr<client_answer> answer;
@@ -64,7 +64,7 @@
     std::function<std::string(const std::string &id)> fieldsOf;
     std::set<std::string> refusing; ///< servers that answer 503 at once without running requests
     std::map<std::string, std::vector<arrival>> arrivals; ///< by server
-    std::vector<asked> requests;
+    std::vector<fleet_request> requests;
     std::set<std::string> nodesWithoutRequests; ///< skipped by `send`
     int pieces = 0; ///< handles returned so far
 
--- a/tests/platform/platform_world.cpp
+++ b/tests/platform/platform_world.cpp
@@ -145,14 +145,14 @@
     : m_loop(loop)
     , m_id(std::move(id))
 {
-    auto made = http::acceptor::create(
+    auto created = http::acceptor::create(
         m_loop, loopback(AnyPort), [this](std::shared_ptr<http::stream_socket> socket) {
             const auto accepted = std::make_shared<connection>(*this, std::move(socket));
             m_connections.push_back(accepted);
             accepted->start();
         });
-    REQUIRE(made);
-    m_acceptor = std::move(made).value();
+    REQUIRE(created);
+    m_acceptor = std::move(created).value();
     setBehaviour([](const server_request &request, const std::shared_ptr<server_answer> &answer) {
         answer->write(signedAnswer(request, "done"));
     });
@@ -187,9 +187,9 @@
 {
     m_shared->onRequest = [this](const http::inbound_ptr &client, http::request_head &&head,
                                  std::string && /*body*/) { onRequest(client, head); };
-    auto made = http::listener::create(loop, loopback(AnyPort), m_shared);
-    REQUIRE(made);
-    m_listener = std::move(made).value();
+    auto created = http::listener::create(loop, loopback(AnyPort), m_shared);
+    REQUIRE(created);
+    m_listener = std::move(created).value();
 }
 
 socket_address fake_store::address() const
@@ -434,8 +434,8 @@
     m_nodes[name].gateway->stop();
 }
 
-http::pool_call world::begin(const std::string &gateway, http::request_head head, std::string body,
-                             const std::shared_ptr<client_answer> &answer)
+http::pool_call world::startRequest(const std::string &gateway, http::request_head head,
+                                    std::string body, const std::shared_ptr<client_answer> &answer)
 {
     http::outbound_call call;
     if (!body.empty())
@@ -458,7 +458,7 @@
                                               std::string body)
 {
     auto answer = std::make_shared<client_answer>();
-    begin(gateway, std::move(head), std::move(body), answer);
+    startRequest(gateway, std::move(head), std::move(body), answer);
     return answer;
 }
 
@@ -573,7 +573,7 @@
 }
 
 void answerStages(world &w, const fake_server &server, const server_request &request,
-                  const std::shared_ptr<server_answer> &answer, milliseconds work, int &made)
+                  const std::shared_ptr<server_answer> &answer, milliseconds work, int &handleCount)
 {
     if (request.head.target == "/stage-free") {
         answer->write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -583,7 +583,7 @@
     std::string results;
     for (unsigned i = 0; i < count; ++i)
         results += std::string(i == 0 ? "" : ",") + R"({"handle":")" + toText(server.address())
-            + "/" + std::to_string(++made) + R"("})";
+            + "/" + std::to_string(++handleCount) + R"("})";
     const auto body = R"({"items":[)" + results + "]}";
     w.loop.callAfter(work, [answer, body] {
         answer->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size())
--- a/tests/platform/platform_world.h
+++ b/tests/platform/platform_world.h
@@ -175,8 +175,8 @@
     std::shared_ptr<client_answer> request(const std::string &gateway, http::request_head head,
                                            std::string body = {});
     /// As `request`; returns the call so that it can be cancelled.
-    http::pool_call begin(const std::string &gateway, http::request_head head, std::string body,
-                          const std::shared_ptr<client_answer> &answer);
+    http::pool_call startRequest(const std::string &gateway, http::request_head head,
+                                 std::string body, const std::shared_ptr<client_answer> &answer);
     /// Sends raw bytes and returns all bytes received until the connection ends.
     std::string sendRaw(const std::string &gateway, const std::string &bytes);
     /// Returns the HTTP status of the readiness check.
@@ -227,9 +227,10 @@
 /// Returns the bytes as one HTTP chunk.
 [[nodiscard]] std::string chunk(const std::string &bytes);
 /// Answers a request to a stage server: a free at once, a stage call after `work` with one result
-/// handle per piece. `made` counts the handles.
+/// handle per piece. `handleCount` counts the handles.
 void answerStages(world &w, const fake_server &server, const server_request &request,
-                  const std::shared_ptr<server_answer> &answer, milliseconds work, int &made);
+                  const std::shared_ptr<server_answer> &answer, milliseconds work,
+                  int &handleCount);
 /// Answers with a complete stream of one event.
 void answerOneEvent(const server_request &request, const std::shared_ptr<server_answer> &answer);
 /// Returns a server-sent event with this number.
--- a/tests/platform/residency_test.cpp
+++ b/tests/platform/residency_test.cpp
@@ -41,7 +41,7 @@
         int status = 0;
         for (int i = 0; i < times; ++i) {
             const auto answer =
-                request("g1", makeRequest("GET", "/p/x", "a" + std::to_string(++m_asked)));
+                request("g1", makeRequest("GET", "/p/x", "a" + std::to_string(++m_requestCount)));
             CHECK(await(answer));
             status = answer->status;
         }
@@ -52,7 +52,7 @@
     fake_server &south = addServer("web", "i-2", "y");
 
 private:
-    int m_asked = 0;
+    int m_requestCount = 0;
 };
 
 } // namespace
--- a/tests/platform/stages_test.cpp
+++ b/tests/platform/stages_test.cpp
@@ -138,7 +138,7 @@
     head.fields.push_back({"X-Chunk-Count", "1,1"});
     head.fields.push_back({"X-Chunk-Key", "key"});
     const auto answer = std::make_shared<client_answer>();
-    const auto call = w.begin("g1", head, "prompt", answer);
+    const auto call = w.startRequest("g1", head, "prompt", answer);
     REQUIRE(w.runUntil([&] { return w.stages.calls.size() == 1; }));
     w.pool.abandon(call);
     w.runFor(milliseconds{500});
