--- a/examples/configuration_manager_example.cpp
+++ b/examples/configuration_manager_example.cpp
@@ -57,9 +57,9 @@
     void answer(const fetch_from_service &call, const fake_service &service, text_actions &out)
     {
         if (service.version == 0)
-            manager.onServiceFailed(call.call, out);
+            manager.onConfigurationServiceFailed(call.call, out);
         else if (call.wait == 0ms || service.version > call.after)
-            manager.onServiceRead(call.call, service.version, service.content, out);
+            manager.onConfigurationServiceRead(call.call, service.version, service.content, out);
         else
             watch = call; // a long poll, answered once a newer version exists
     }
--- a/include/orchidlead/configuration_manager.h
+++ b/include/orchidlead/configuration_manager.h
@@ -24,28 +24,30 @@
 
 /// Keeps the same published configuration in force on all nodes, without a data store.
 ///
-/// Versions only increase. A few readers in each data centre watch the configuration service; the
-/// other nodes receive the stamp of a version by gossip and fetch the content from a peer.
+/// Versions only increase. A few nodes in each data centre, the configuration readers, watch the
+/// platform's configuration service, which this header also calls "the service". The other nodes
+/// receive the stamp of a version by gossip and fetch the content from a peer.
 namespace orchidlead {
 
 /// Returns the content hash of a stamp; the same in every process and build.
 [[nodiscard]] std::uint64_t configurationHash(std::string_view content);
 
-/// Returns whether `self` watches the service for its data centre, that is, whether it is among the
-/// `count` nodes that rendezvous hashing picks from the alive members there. `self` counts as
-/// alive.
+/// Returns whether `self` is a configuration reader of its data centre, that is, whether it watches
+/// the configuration service for the other nodes there. The readers are the `count` nodes that
+/// rendezvous hashing picks from the alive members there. `self` counts as alive.
 [[nodiscard]] bool isConfigurationReader(const listed_vm &self, std::span<const member> members,
                                          std::size_t count);
 
 /// Position of a node in the tree that distributes a configuration within its data centre.
 struct fetch_position
 {
-    vm_id parent; ///< empty for a reader, which is a root
-    std::uint32_t depth = 0; ///< of the parent; 0 for readers
+    vm_id parent; ///< empty for a configuration reader, which is a root of the tree
+    std::uint32_t depth = 0; ///< of the parent; 0 for configuration readers
 };
 
-/// Returns the position of `self`. The readers are the roots, and each node serves at most `fanout`
-/// others. The positions change with the version, which distributes the load over the nodes.
+/// Returns the position of `self`. The configuration readers are the roots of the tree, and each
+/// node serves at most `fanout` others. The positions change with the version, which distributes
+/// the load over the nodes.
 [[nodiscard]] fetch_position fetchPosition(const listed_vm &self, std::span<const member> members,
                                            std::size_t readers, std::size_t fanout,
                                            std::uint64_t version);
@@ -105,11 +107,13 @@
     enum_name<configuration_event>{configuration_event::ConfirmTimedOut, "confirmed_alone"},
 };
 
+/// Identifies a call to the configuration service.
 using service_call_id = std::uint64_t;
 
-/// Action: read the service. A `wait` of zero returns the current version at once; otherwise the
-/// call waits that long for a version above `after`. Exactly one of `onServiceRead`,
-/// `onServiceUnchanged` and `onServiceFailed` must follow.
+/// Action: read the configuration service. A `wait` of zero returns the current version at once;
+/// otherwise the call waits that long for a version above `after`. Exactly one of
+/// `onConfigurationServiceRead`, `onConfigurationServiceUnchanged` and
+/// `onConfigurationServiceFailed` must follow.
 struct fetch_from_service
 {
     service_call_id call = 0;
@@ -202,10 +206,10 @@
     /// Runs timers; call every 50 to 200 ms.
     void tick(actions &out);
 
-    void onServiceRead(service_call_id call, std::uint64_t version, std::string content,
-                       actions &out);
-    void onServiceUnchanged(service_call_id call, actions &out);
-    void onServiceFailed(service_call_id call, actions &out);
+    void onConfigurationServiceRead(service_call_id call, std::uint64_t version,
+                                    std::string content, actions &out);
+    void onConfigurationServiceUnchanged(service_call_id call, actions &out);
+    void onConfigurationServiceFailed(service_call_id call, actions &out);
 
     /// Handles the stamp that a peer has in force. `probeSentAt` is the send time of the probe that
     /// the message answers; empty for messages that answer no probe.
@@ -220,7 +224,7 @@
     /// Text of the configuration in force, sent to peers that fetch it.
     [[nodiscard]] const std::string &content() const { return m_content; }
     /// True if a configuration is in force and no confirmation is pending after the start or the
-    /// last pause.
+    /// last pause of the process.
     [[nodiscard]] bool readyToServe() const { return m_current && !needsConfirmation(); }
     [[nodiscard]] bool needsConfirmation() const
     {
@@ -277,8 +281,8 @@
                 std::vector<std::string> errors, actions &out);
     void adopt(const configuration_stamp &offered, configuration_ptr configuration,
                std::string content, configuration_source source, const vm_id &from, actions &out);
-    void startServiceCall(actions &out);
-    void endServiceCall(service_call_id call, bool answered, actions &out);
+    void startConfigurationServiceCall(actions &out);
+    void endConfigurationServiceCall(service_call_id call, bool answered, actions &out);
     void scheduleFetch();
     void startPeerFetch(actions &out);
     void dropHolder(const vm_id &vm);
@@ -290,7 +294,7 @@
     validator m_validate;
     std::mt19937_64 m_random;
     std::vector<member> m_members;
-    bool m_reader = true; ///< a node without members reads the service itself
+    bool m_reader = true; ///< whether this node is a configuration reader; true without members
 
     configuration_ptr m_current;
     configuration_stamp m_stamp;
@@ -299,7 +303,7 @@
 
     std::optional<service_call> m_serviceCall;
     service_call_id m_lastCall = 0;
-    std::uint64_t m_serviceVersion = 0; ///< highest one read, also if rejected
+    std::uint64_t m_highestServiceVersion = 0; ///< highest version read, also if rejected
     steady_time m_nextServiceCall;
     std::uint32_t m_serviceFailures = 0;
     bool m_readAtOnce = true; ///< the next call is no long poll
@@ -320,8 +324,8 @@
     , m_confirmation(confirmation{clock.now(), clock.now(), {}, false})
 { }
 
-// The answer to a watch from before the pause may be outdated. The watch is abandoned, and the next
-// call reads at once.
+// The answer to a watch from before the pause of the process may be outdated. The watch is
+// abandoned, and the next call reads at once.
 template <class Configuration, class Policy>
 void configuration_manager<Configuration, Policy>::onPaused(actions &out)
 {
@@ -339,7 +343,7 @@
     const auto now = m_clock.now();
     if (m_serviceCall
         && now > m_serviceCall->startedAt + m_serviceCall->wait + m_options.answerTimeout)
-        endServiceCall(m_serviceCall->id, false, out);
+        endConfigurationServiceCall(m_serviceCall->id, false, out);
     if (m_peerFetch && now > m_peerFetch->startedAt + m_options.peerFetchTimeout)
         onPeerFailed(vm_id{m_peerFetch->vm}, out);
     if (m_confirmation && now >= m_confirmation->nextProbe) {
@@ -350,12 +354,12 @@
     startPeerFetch(out);
     confirm(out);
     if (!m_serviceCall && now >= m_nextServiceCall && shouldReadService())
-        startServiceCall(out);
+        startConfigurationServiceCall(out);
 }
 
-// A node that is no reader reads the service only while it has no configuration, or while it is
-// unconfirmed and has no alive peer. While unconfirmed, it first waits half of the confirmation
-// timeout for its peers.
+// A node that is no configuration reader reads the configuration service only while it has no
+// configuration, or while it is unconfirmed and has no alive peer. While unconfirmed, it first
+// waits half of the confirmation timeout for its peers.
 template <class Configuration, class Policy>
 bool configuration_manager<Configuration, Policy>::shouldReadService() const
 {
@@ -368,7 +372,7 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_manager<Configuration, Policy>::startServiceCall(actions &out)
+void configuration_manager<Configuration, Policy>::startConfigurationServiceCall(actions &out)
 {
     const auto now = m_clock.now();
     fetch_from_service fetch;
@@ -376,7 +380,7 @@
     // Rejected versions are included: a watch after the version in force would return the rejected
     // one over and over.
     if (!m_readAtOnce) {
-        fetch.after = std::max(m_stamp.version, m_serviceVersion);
+        fetch.after = std::max(m_stamp.version, m_highestServiceVersion);
         fetch.wait = m_options.longPollWait;
     }
     m_serviceCall = service_call{fetch.call, now, fetch.wait};
@@ -385,8 +389,9 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_manager<Configuration, Policy>::endServiceCall(service_call_id call,
-                                                                  bool answered, actions &out)
+void configuration_manager<Configuration, Policy>::endConfigurationServiceCall(service_call_id call,
+                                                                               bool answered,
+                                                                               actions &out)
 {
     if (!m_serviceCall || m_serviceCall->id != call)
         return;
@@ -407,7 +412,7 @@
     m_serviceFailures = std::min(m_serviceFailures + 1, 16U);
     m_readAtOnce = true;
     // Random delay (jitter) below a bound that doubles with every second failure: otherwise the
-    // readers of all data centres would retry at the same time.
+    // configuration readers of all data centres would retry at the same time.
     const auto bound = std::min<std::int64_t>(
         m_options.maxBackoff.count(), m_options.minReadInterval.count() << (m_serviceFailures / 2));
     const auto base = m_options.minReadInterval.count() / 2;
@@ -416,29 +421,30 @@
 }
 
 template <class Configuration, class Policy>
-void configuration_manager<Configuration, Policy>::onServiceRead(service_call_id call,
-                                                                 std::uint64_t version,
-                                                                 std::string content, actions &out)
+void configuration_manager<Configuration, Policy>::onConfigurationServiceRead(service_call_id call,
+                                                                              std::uint64_t version,
+                                                                              std::string content,
+                                                                              actions &out)
 {
-    endServiceCall(call, true, out);
-    m_serviceVersion = std::max(m_serviceVersion, version);
+    endConfigurationServiceCall(call, true, out);
+    m_highestServiceVersion = std::max(m_highestServiceVersion, version);
     processContent(version, std::move(content), configuration_source::Service, vm_id{}, out);
     tick(out);
 }
 
 template <class Configuration, class Policy>
-void configuration_manager<Configuration, Policy>::onServiceUnchanged(service_call_id call,
-                                                                      actions &out)
+void configuration_manager<Configuration, Policy>::onConfigurationServiceUnchanged(
+    service_call_id call, actions &out)
 {
-    endServiceCall(call, true, out);
+    endConfigurationServiceCall(call, true, out);
     tick(out);
 }
 
 template <class Configuration, class Policy>
-void configuration_manager<Configuration, Policy>::onServiceFailed(service_call_id call,
-                                                                   actions &out)
+void configuration_manager<Configuration, Policy>::onConfigurationServiceFailed(
+    service_call_id call, actions &out)
 {
-    endServiceCall(call, false, out);
+    endConfigurationServiceCall(call, false, out);
 }
 
 template <class Configuration, class Policy>
@@ -530,10 +536,10 @@
     confirm(out);
 }
 
-// If all nodes of a data centre fetched a configuration of 1 MB from the three readers that
-// announce it, they would overload these, so each node fetches from its parent in the tree. If the
-// parent does not have the content, the node fetches from any holder. An unconfirmed node, which
-// may not serve yet, fetches from any holder at once.
+// If all nodes of a data centre fetched a configuration of 1 MB from the three configuration
+// readers that announce it, they would overload these, so each node fetches from its parent in the
+// tree. If the parent does not have the content, the node fetches from any holder. An unconfirmed
+// node, which may not serve yet, fetches from any holder at once.
 template <class Configuration, class Policy>
 void configuration_manager<Configuration, Policy>::scheduleFetch()
 {
@@ -542,8 +548,8 @@
     const auto position = fetchPosition(m_options.self, m_members, m_options.readersPerDataCenter,
                                         m_options.fetchFanout, m_announced->stamp.version);
     m_announced->parent = position.parent;
-    // A reader waits for one level: its own watch returns at about the same time as the watches of
-    // the other readers.
+    // A configuration reader waits for one level: its own watch returns at about the same time as
+    // the watches of the other readers.
     const auto levels = position.parent.empty() ? 1 : position.depth;
     m_announced->notBefore += levels * m_options.fetchDelayPerLevel;
 }
--- a/src/core/configuration/configuration_manager.cpp
+++ b/src/core/configuration/configuration_manager.cpp
@@ -23,7 +23,7 @@
     return alive;
 }
 
-std::vector<vm_id> pickReaders(std::span<const vm_id> alive, std::size_t count)
+std::vector<vm_id> pickConfigurationReaders(std::span<const vm_id> alive, std::size_t count)
 {
     return rendezvousPick("configuration-reader", alive, count);
 }
@@ -35,21 +35,22 @@
 
 } // namespace
 
-// A suspected reader is replaced at once: an unnecessary watch costs one call, whereas without a
-// reader the data centre receives no new versions.
+// A suspected configuration reader is replaced at once: an unnecessary watch costs one call,
+// whereas without a configuration reader the data centre receives no new versions.
 bool isConfigurationReader(const listed_vm &self, std::span<const member> members,
                            std::size_t count)
 {
-    return contains(pickReaders(aliveInDataCenter(self, members), count), self.vm);
+    return contains(pickConfigurationReaders(aliveInDataCenter(self, members), count), self.vm);
 }
 
-// All nodes compute the same order: first the readers, then the others. The order is the layout of
-// a heap: the `fanout` children of the node at index i begin at index readers + i * fanout.
+// All nodes compute the same order: first the configuration readers, then the others. The order is
+// the layout of a heap: the `fanout` children of the node at index i begin at index
+// readers + i * fanout.
 fetch_position fetchPosition(const listed_vm &self, std::span<const member> members,
                              std::size_t readers, std::size_t fanout, std::uint64_t version)
 {
     auto alive = aliveInDataCenter(self, members);
-    auto order = pickReaders(alive, readers);
+    auto order = pickConfigurationReaders(alive, readers);
     const std::size_t roots = order.size();
     std::erase_if(alive, [&order](const vm_id &vm) { return contains(order, vm); });
     const auto key = "configuration-fetch/" + std::to_string(version);
--- a/src/core/configuration/parse_published_configuration.cpp
+++ b/src/core/configuration/parse_published_configuration.cpp
@@ -42,7 +42,7 @@
     std::optional<std::string> read(const value_reader &reader)
     {
         auto name = reader.name();
-        if (name && !m_seen.insert(*name).second) {
+        if (name && !m_earlierNames.insert(*name).second) {
             reader.fail("a name that no other " + std::string(m_itemKind) + " has");
             return std::nullopt;
         }
@@ -51,7 +51,7 @@
 
 private:
     std::string_view m_itemKind;
-    std::unordered_set<std::string> m_seen;
+    std::unordered_set<std::string> m_earlierNames;
 };
 
 /// Parses the lists of the document; each list refers only to those parsed before it.
--- a/src/core/configuration/published_configuration.h
+++ b/src/core/configuration/published_configuration.h
@@ -76,7 +76,7 @@
     bool required = false;
     std::optional<parameter_value> defaultValue; ///< absent only if `required`
     std::optional<std::int64_t> minimum; ///< integers, and durations in milliseconds
-    std::optional<std::int64_t> maximum; ///< as `minimum`
+    std::optional<std::int64_t> maximum; ///< integers, and durations in milliseconds
     std::vector<parameter_value> allowed; ///< empty: any value
 };
 
@@ -112,7 +112,8 @@
     std::vector<template_parameter> parameters;
     template_value<milliseconds> deadline = milliseconds{0};
     template_value<orchidlead::priority> priority = priority::Normal;
-    /// Stages that run, in execution order; absent: all stages in the order of the template.
+    /// Names of the stages to run, in execution order; absent: all stages in the order of the
+    /// template.
     std::optional<template_value<std::vector<stage_id>>> run;
     std::vector<template_stage> stages;
 };
--- a/src/core/node/node_control.cpp
+++ b/src/core/node/node_control.cpp
@@ -50,22 +50,25 @@
     feedMembers([&](auto &actions) { m_members.onDatagram(from, bytes, actions); }, out);
 }
 
-void node_control::onServiceRead(service_call_id call, std::uint64_t version, std::string content,
-                                 control_actions &out)
+void node_control::onConfigurationServiceRead(service_call_id call, std::uint64_t version,
+                                              std::string content, control_actions &out)
 {
     feedManager(
-        [&](auto &actions) { m_manager.onServiceRead(call, version, std::move(content), actions); },
+        [&](auto &actions) {
+            m_manager.onConfigurationServiceRead(call, version, std::move(content), actions);
+        },
         out);
 }
 
-void node_control::onServiceUnchanged(service_call_id call, control_actions &out)
+void node_control::onConfigurationServiceUnchanged(service_call_id call, control_actions &out)
 {
-    feedManager([&](auto &actions) { m_manager.onServiceUnchanged(call, actions); }, out);
+    feedManager([&](auto &actions) { m_manager.onConfigurationServiceUnchanged(call, actions); },
+                out);
 }
 
-void node_control::onServiceFailed(service_call_id call, control_actions &out)
+void node_control::onConfigurationServiceFailed(service_call_id call, control_actions &out)
 {
-    feedManager([&](auto &actions) { m_manager.onServiceFailed(call, actions); }, out);
+    feedManager([&](auto &actions) { m_manager.onConfigurationServiceFailed(call, actions); }, out);
 }
 
 void node_control::onPeerContent(const vm_id &vm, std::uint64_t version, std::string content,
@@ -85,7 +88,7 @@
 {
     feedMembers([&](auto &actions) { m_members.tick(actions); }, out);
     feedManager([&](auto &actions) { m_manager.tick(actions); }, out);
-    // Peers confirm the list too, and no action reports that.
+    // Peers confirm the VM list too, and no action reports that.
     if (confirmedAt() >= m_reportedConfirmation + ConfirmationReportInterval)
         reportMembers(out);
 }
--- a/src/core/node/node_control.h
+++ b/src/core/node/node_control.h
@@ -17,7 +17,7 @@
 
 using published_configuration_manager = configuration_manager<published_configuration>;
 
-/// Action: the members changed, or the platform confirmed its list again.
+/// Action: the members changed, or the platform confirmed its VM list again.
 struct members_updated
 {
     std::vector<member> members;
@@ -37,8 +37,9 @@
     configuration_manager_options manager;
 };
 
-/// Connects membership and the configuration manager: reports from gossip go to the manager, and
-/// the manager's decisions are sent with the gossip. Deterministic, without I/O.
+/// Connects membership and the configuration manager, which decides which published configuration
+/// is in force on the node: reports from gossip go to the manager, and the manager's decisions are
+/// sent with the gossip. Deterministic, without I/O.
 class node_control
 {
 public:
@@ -46,28 +47,29 @@
                  published_configuration_manager::validator validate);
 
     void setVmList(std::uint64_t version, const std::vector<listed_vm> &vms, control_actions &out);
-    /// Records the platform's confirmation that its list still has this version.
+    /// Records the platform's confirmation that its VM list still has this version.
     void onListConfirmed(std::uint64_t version, control_actions &out);
     void onDatagram(const socket_address &from, std::string_view bytes, control_actions &out);
 
-    void onServiceRead(service_call_id call, std::uint64_t version, std::string content,
-                       control_actions &out);
-    void onServiceUnchanged(service_call_id call, control_actions &out);
-    void onServiceFailed(service_call_id call, control_actions &out);
+    void onConfigurationServiceRead(service_call_id call, std::uint64_t version,
+                                    std::string content, control_actions &out);
+    void onConfigurationServiceUnchanged(service_call_id call, control_actions &out);
+    void onConfigurationServiceFailed(service_call_id call, control_actions &out);
     void onPeerContent(const vm_id &vm, std::uint64_t version, std::string content,
                        control_actions &out);
     void onPeerFailed(const vm_id &vm, control_actions &out);
 
     /// Runs due timers; call every 50 to 100 ms.
     void tick(control_actions &out);
-    /// Detects a pause of the process; call before acting on state that may be from before it.
+    /// Detects a pause of the process, that is, a time in which it did not run; call before acting
+    /// on state that may be from before the pause.
     void detectPause(control_actions &out);
 
     void announceLeaving(control_actions &out);
     void announceStopped(control_actions &out);
 
-    /// Whether a configuration is in force that peers or the service confirmed since the start and
-    /// since the last pause.
+    /// Whether a configuration is in force that peers or the configuration service confirmed since
+    /// the start and since the last pause of the process.
     [[nodiscard]] bool readyToServe() const { return m_manager.readyToServe(); }
     [[nodiscard]] const published_configuration_manager &manager() const { return m_manager; }
     [[nodiscard]] const membership &members() const { return m_members; }
--- a/src/daemon/control_shell.cpp
+++ b/src/daemon/control_shell.cpp
@@ -139,17 +139,17 @@
                                     wire::configuration_service_client::outcome_type outcome)
 {
     if (!outcome) {
-        feed([&](auto &out) { m_control.onServiceFailed(call, out); });
+        feed([&](auto &out) { m_control.onConfigurationServiceFailed(call, out); });
     } else if (auto &read = outcome.value()) {
         const std::uint64_t version = read->version;
-        m_parser.parse(version, std::move(read->content),
-                       [this, call, version](std::string parsed) {
-                           feed([&](auto &out) {
-                               m_control.onServiceRead(call, version, std::move(parsed), out);
-                           });
-                       });
+        m_parser.parse(
+            version, std::move(read->content), [this, call, version](std::string parsed) {
+                feed([&](auto &out) {
+                    m_control.onConfigurationServiceRead(call, version, std::move(parsed), out);
+                });
+            });
     } else {
-        feed([&](auto &out) { m_control.onServiceUnchanged(call, out); });
+        feed([&](auto &out) { m_control.onConfigurationServiceUnchanged(call, out); });
     }
 }
 
--- a/tests/core/configuration_manager_test.cpp
+++ b/tests/core/configuration_manager_test.cpp
@@ -72,7 +72,7 @@
     {
         const auto call = manager->serviceCalls();
         out.clear();
-        manager->onServiceRead(call, version, content, out);
+        manager->onConfigurationServiceRead(call, version, content, out);
     }
 
     void advanceTime(milliseconds time)
@@ -265,7 +265,7 @@
         node.advanceTime(100ms);
         for (const auto &call : node.actionsOf<fetch_from_service>()) {
             node.out.clear();
-            node.manager->onServiceFailed(call.call, node.out);
+            node.manager->onConfigurationServiceFailed(call.call, node.out);
         }
         node.out.clear();
     }
--- a/tests/core/control_fake_network.h
+++ b/tests/core/control_fake_network.h
@@ -419,7 +419,7 @@
         if (!m_serviceUp || !platformReaches(index)) {
             scheduleFor(index, milliseconds{5}, [this, index, fetch] {
                 withManager(index, [=](auto &manager, auto &out) {
-                    manager.onServiceFailed(fetch.call, out);
+                    manager.onConfigurationServiceFailed(fetch.call, out);
                 });
             });
             return;
@@ -436,7 +436,7 @@
     {
         scheduleFor(index, delay(), [this, index, fetch, version = m_version, content = m_content] {
             withManager(index, [=](auto &manager, auto &out) {
-                manager.onServiceRead(fetch.call, version, content, out);
+                manager.onConfigurationServiceRead(fetch.call, version, content, out);
             });
         });
     }
@@ -461,8 +461,9 @@
         });
         if (ended == 0 || !at(index).running)
             return;
-        withManager(index,
-                    [=](auto &manager, auto &out) { manager.onServiceUnchanged(call, out); });
+        withManager(index, [=](auto &manager, auto &out) {
+            manager.onConfigurationServiceUnchanged(call, out);
+        });
     }
 
     /// Passes an input to a node's manager, for a paused node after it has resumed.
