--- a/include/orchidlead/at_most_once_guards.h
+++ b/include/orchidlead/at_most_once_guards.h
@@ -49,7 +49,7 @@
     static constexpr bool ListMustBeConfirmed = true;
     /// A release does not end a vote of a later round, which may have arrived before it.
     static constexpr bool LateReleaseIsIgnored = true;
-    /// The successor of a handover inherits the coverage only if the leases overlap.
+    /// The successor of a handover inherits the coverage of the lease only if the leases overlap.
     static constexpr bool HandoverWithinLease = true;
     /// A node that is not certain to be the home reports `unknown`, not `not_run`.
     static constexpr bool UncertainMeansUnknown = true;
--- a/include/orchidlead/key_home.h
+++ b/include/orchidlead/key_home.h
@@ -44,11 +44,12 @@
     milliseconds renewal{4'000};
     /// Largest difference between the wall clocks of two machines.
     milliseconds clockSkew{1'000};
-    milliseconds maxListAge{60'000};
-    milliseconds listMemory{150'000};
+    milliseconds maxListAge{60'000}; ///< of a VM list; see `at_most_once_settings`
+    milliseconds listMemory{150'000}; ///< of replaced VM lists; see `at_most_once_settings`
 };
 
-/// Coverage of a shard by a lease: no earlier home has accepted a key issued after `since`.
+/// Coverage of a lease on a shard: the time span of issue of the keys that only the lease holder
+/// can have accepted. No earlier home has accepted a key issued after `since`.
 struct lease_coverage
 {
     wall_time since;
@@ -82,7 +83,7 @@
     basic_key_home(key_home_settings settings, const clock_source &clock);
 
     /// Sets the VMs of the data centre. Only listed VMs vote or hold leases. `confirmedAt` is the
-    /// time when the platform last confirmed the list.
+    /// time when the platform last confirmed the VM list.
     void setMembers(std::span<const member> members, steady_time confirmedAt);
 
     /// Requests the votes that are due.
@@ -113,15 +114,15 @@
     /// Returns the live VMs that could take over a shard, in order of preference.
     [[nodiscard]] std::vector<vm_id> successors(std::size_t shard) const;
 
-    /// Returns the coverage for a handover, or nothing if the lease is not valid.
+    /// Returns the coverage of the lease, for a handover, or nothing if the lease is not valid.
     [[nodiscard]] std::optional<lease_coverage> coverage(std::size_t shard) const;
 
     /// Ends this node's lease. If there is a successor, transfers the votes to it.
     void endLease(std::size_t shard, const std::optional<shard_successor> &successor,
                   std::vector<key_home_outgoing> &out);
 
-    /// Inherits the coverage of the previous home if this node gets the lease before the previous
-    /// one ends.
+    /// Continues the coverage of the previous home's lease if this node gets the lease before the
+    /// previous one ends.
     void inheritCoverage(std::size_t shard, const lease_coverage &coverage);
 
     /// Whether this node could hold a lease: it is listed, is not leaving, and its VM lists are
@@ -135,7 +136,7 @@
     struct shard_state
     {
         steady_time leaseUntil = steady_time::min();
-        wall_time since; // start of the coverage; valid while the lease is
+        wall_time since; // start of the coverage of the lease; valid while the lease is
         std::optional<lease_coverage> inherited;
         std::uint64_t firstCountedRound = 0; // votes of earlier rounds are ignored
         // Since when this node's voter has had no promise to another holder.
@@ -154,7 +155,7 @@
     static constexpr std::size_t TrackedRounds = 16;
 
     [[nodiscard]] lease_holder self() const { return {m_settings.vm, m_settings.incarnation}; }
-    [[nodiscard]] bool listsUsable(steady_time now) const;
+    [[nodiscard]] bool vmListsUsable(steady_time now) const;
     [[nodiscard]] steady_time leaseEnd(std::size_t shard, steady_time now) const;
     [[nodiscard]] bool shouldRequest(std::size_t shard, steady_time now);
     [[nodiscard]] std::size_t rank(std::size_t shard) const;
@@ -171,7 +172,7 @@
     key_home_settings m_settings;
     const clock_source &m_clock;
     lease_voter<Guards> m_voter;
-    recent_vm_lists m_lists;
+    recent_vm_lists m_vmLists;
     std::vector<vm_id> m_live; // listed, alive and not leaving; including this node
     std::array<shard_state, ShardCount> m_shards;
     std::unordered_map<vm_id, voter_votes> m_votes;
--- a/include/orchidlead/key_home_messages.h
+++ b/include/orchidlead/key_home_messages.h
@@ -33,7 +33,8 @@
 struct lease_request
 {
     orchidlead::incarnation holder = 0;
-    /// Echoed by the vote. The lease starts when the request of this round was sent.
+    /// Number of the holder's round of requests, echoed by the vote. The lease starts when the
+    /// request of this round was sent.
     std::uint64_t round = 0;
     shard_bits shards = 0;
 };
@@ -57,8 +58,8 @@
     shard_bits shards = 0;
     vm_id successor; ///< empty: votes are not transferred
     orchidlead::incarnation successorIncarnation = 0;
-    /// First round of which the successor counts votes.
-    std::uint64_t successorRound = 0;
+    /// Number of the first round of the successor's lease requests of which it counts votes.
+    std::uint64_t successorFirstRound = 0;
 };
 
 /// A record of a call, sent to the next home of its shard.
@@ -79,7 +80,7 @@
     std::uint32_t shard = 0;
     std::uint32_t part = 0;
     std::uint32_t parts = 1;
-    std::int64_t coveredSince = 0; ///< unix milliseconds
+    std::int64_t coveredSince = 0; ///< unix milliseconds; `lease_coverage::since`
     std::int64_t leaseEnd = 0; ///< unix milliseconds
     std::vector<handover_record> records;
 };
@@ -91,7 +92,7 @@
     std::uint32_t shard = 0;
     std::uint32_t part = 0;
     orchidlead::incarnation successor = 0;
-    std::uint64_t successorRound = 0;
+    std::uint64_t successorFirstRound = 0; ///< as in `lease_release`
     bool accepted = false;
 };
 
--- a/include/orchidlead/lease_voter.h
+++ b/include/orchidlead/lease_voter.h
@@ -79,7 +79,7 @@
             } else {
                 given.otherHolderUntil = std::max(given.otherHolderUntil, given.until);
                 given.holder = {message.successor, message.successorIncarnation};
-                given.round = message.successorRound;
+                given.round = message.successorFirstRound;
             }
         }
     }
--- a/include/orchidlead/ticket.h
+++ b/include/orchidlead/ticket.h
@@ -12,7 +12,8 @@
 
 namespace orchidlead {
 
-/// Permits the process that minted it to run one call once.
+/// A one-time token that a node issues to a caller: a call that carries it runs at most once, and
+/// only on the process that issued (minted) the token.
 ///
 /// Text form: `t.<vm>.<incarnation in hex>.<sequence>`.
 struct ticket
--- a/include/orchidlead/ticket_ledger.h
+++ b/include/orchidlead/ticket_ledger.h
@@ -15,12 +15,13 @@
 
 /// Whether a ticket may run in this process, and if not, why.
 enum class ticket_status {
-    Valid, ///< minted by this process and not expired
-    OtherVm,
-    /// Minted by an earlier or later process on this VM.
+    Valid, ///< the ticket was minted by this process and has not expired
+    OtherVm, ///< the ticket was minted on another VM
+    /// The ticket was minted by an earlier or later process on this VM.
     OtherIncarnation,
-    NeverMinted,
-    /// Older than the window. The record of the call may have been dropped, so it must not run.
+    NeverMinted, ///< this process has not issued this sequence number
+    /// The ticket is older than the window. The record of the call may have been dropped, so it
+    /// must not run.
     Expired,
 };
 
@@ -33,7 +34,8 @@
     enum_name<ticket_status>{ticket_status::Expired, "expired"},
 };
 
-/// Mints the tickets of one process and determines which of them may still run.
+/// Mints (issues) the tickets of one process, which permit one call each (see `ticket`), and
+/// determines which of them may still run.
 ///
 /// All sequence numbers below a floor are expired, and the floor only rises. Dropping the state of
 /// a ticket therefore never makes it valid again.
@@ -44,7 +46,7 @@
     ticket_ledger(vm_id vm, incarnation self, milliseconds window, std::size_t capacity,
                   const clock_source &clock);
 
-    /// Mints the next ticket. Returns nothing while `capacity` are valid.
+    /// Issues the next ticket. Returns nothing while `capacity` are valid.
     [[nodiscard]] std::optional<ticket> mint();
 
     [[nodiscard]] ticket_status status(const ticket &value) const;
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -160,7 +160,7 @@
     const plan_or_refusal plan = renderPlan(request);
     const bool once = request.hasTicketOrKey() || (plan && !plan.value()->repeatable());
     if (once)
-        submitOnce(id, std::move(request), plan, out);
+        submitNonRepeatable(id, std::move(request), plan, out);
     else
         runOrRefuse(id, std::move(request), plan, std::nullopt, out);
     return id;
@@ -195,8 +195,8 @@
     return std::nullopt;
 }
 
-non_repeatable_request node::makeOnceRequest(const caller_request &request,
-                                             steady_time deadline) const
+non_repeatable_request node::makeNonRepeatableRequest(const caller_request &request,
+                                                      steady_time deadline) const
 {
     non_repeatable_request once;
     once.customer = request.customer;
@@ -215,14 +215,15 @@
 // The at-most-once gate decides first. All other refusals of a request with a ticket or key come
 // after the gate has recorded the call, so that the refusal is recorded too and a delayed copy
 // doesn't run.
-void node::submitOnce(const request_id &id, caller_request request, const plan_or_refusal &plan,
-                      node_actions &out)
+void node::submitNonRepeatable(const request_id &id, caller_request request,
+                               const plan_or_refusal &plan, node_actions &out)
 {
     const milliseconds time =
         plan ? allowedTime(*plan.value(), request) : request.deadline.value_or(NoPlanDeadline);
     const steady_time deadline = m_clock.now() + time;
     m_lastDeadline = std::max(m_lastDeadline, deadline);
-    const at_most_once_verdict verdict = m_atMostOnce.onRequest(makeOnceRequest(request, deadline));
+    const at_most_once_verdict verdict =
+        m_atMostOnce.onRequest(makeNonRepeatableRequest(request, deadline));
     std::visit(
         overloaded{
             [&](const run_locally &run) {
--- a/src/core/node/node.h
+++ b/src/core/node/node.h
@@ -43,7 +43,7 @@
 /// Whether new requests are admitted, and if not, why.
 enum class admission_state {
     Open,
-    /// The configuration must be confirmed first, after the start or a pause.
+    /// The configuration must be confirmed first, after the start or a pause of the process.
     Unconfirmed,
     Stopping,
 };
@@ -61,7 +61,7 @@
 
     /// Sets the configuration for new requests.
     void setConfiguration(configuration_ptr configuration, node_actions &out);
-    /// Sets the current members, and the time at which the platform last confirmed its list.
+    /// Sets the current members, and the time at which the platform last confirmed its VM list.
     void setMembers(std::vector<member> members, steady_time vmListConfirmedAt);
     void setAdmission(admission_state state);
 
@@ -77,7 +77,8 @@
     void onForwardAnswer(const request_id &request, final_answer answer, node_actions &out);
     void onForwardFailed(const request_id &request, const std::string &detail, node_actions &out);
 
-    /// Mints a ticket; nothing while the node stops or too many tickets are valid.
+    /// Issues a ticket, which permits a caller to run one call at most once; nothing while the node
+    /// stops or too many tickets are valid.
     [[nodiscard]] std::optional<std::string> mintTicket();
 
     /// Whether the first byte of an attempt may be sent now.
@@ -94,14 +95,16 @@
     void tick(node_actions &out);
     [[nodiscard]] std::optional<steady_time> nextWake() const;
 
-    /// Messages of the at-most-once gate to its peers. Call `tickAtMostOnce` about every 250 ms.
+    /// Renews the leases of `at_most_once`, which checks non-repeatable calls before they run, and
+    /// appends its messages to the same component of other nodes. Call `tickAtMostOnce` about every
+    /// 250 ms.
     void tickAtMostOnce(std::vector<peer_message> &out);
     void onAtMostOnceMessage(const vm_id &from, std::string_view bytes,
                              std::vector<peer_message> &out);
     /// Starts to hand the keys over, as part of a planned stop.
     void startKeyHandover() { m_atMostOnce.startKeyHandover(); }
     [[nodiscard]] bool keysHandedOver() const { return m_atMostOnce.keysHandedOver(); }
-    [[nodiscard]] const at_most_once &gate() const { return m_atMostOnce; }
+    [[nodiscard]] const at_most_once &atMostOnce() const { return m_atMostOnce; }
 
     /// Whether no caller waits and nothing runs.
     [[nodiscard]] bool idle() const;
@@ -130,6 +133,7 @@
     struct running_request
     {
         std::size_t bytes = 0; ///< of its input and stage outputs
+        /// In `at_most_once`; only for calls that must run at most once.
         std::optional<record_handle> record;
         bool hasTicketOrKey = false;
     };
@@ -148,10 +152,10 @@
     [[nodiscard]] request_id nextId();
     [[nodiscard]] plan_or_refusal renderPlan(const caller_request &request) const;
     [[nodiscard]] std::optional<refusal> checkAdmission(const caller_request &request) const;
-    [[nodiscard]] non_repeatable_request makeOnceRequest(const caller_request &request,
-                                                         steady_time deadline) const;
-    void submitOnce(const request_id &id, caller_request request, const plan_or_refusal &plan,
-                    node_actions &out);
+    [[nodiscard]] non_repeatable_request makeNonRepeatableRequest(const caller_request &request,
+                                                                  steady_time deadline) const;
+    void submitNonRepeatable(const request_id &id, caller_request request,
+                             const plan_or_refusal &plan, node_actions &out);
     void runOrRefuse(const request_id &id, caller_request request, const plan_or_refusal &plan,
                      std::optional<record_handle> record, node_actions &out);
     void start(const request_id &id, caller_request request, const plan_ptr &plan,
--- a/src/core/node/planned_stop.cpp
+++ b/src/core/node/planned_stop.cpp
@@ -38,9 +38,9 @@
     return m_phase;
 }
 
-// An idle node waits for the whole notice too, because the load balancer may still send requests.
-// Every request ends by its deadline, so waiting for the last deadline cuts off no request, however
-// short the drain time is set.
+// An idle node waits for the whole notice period too, because the load balancer may still send
+// requests. Every request ends by its deadline, so waiting for the last deadline cuts off no
+// request, however short the drain time is set.
 bool planned_stop::phaseOver(const stop_progress &progress) const
 {
     const auto elapsed = m_clock.now() - m_phaseStart;
--- a/src/core/node/planned_stop.h
+++ b/src/core/node/planned_stop.h
@@ -31,7 +31,8 @@
 /// Durations of the phases of a planned stop.
 struct planned_stop_options
 {
-    /// Must exceed the load balancer's check interval times its failure threshold.
+    /// How long the node reports that it isn't ready before it refuses requests. Must exceed the
+    /// load balancer's check interval times its failure threshold.
     milliseconds notice{5000};
     /// Extended to the last deadline of an open request, if that is later.
     milliseconds drain{30000};
--- a/src/core/once/at_most_once.h
+++ b/src/core/once/at_most_once.h
@@ -25,7 +25,8 @@
 #include <variant>
 #include <vector>
 
-/// The at-most-once gate: checks non-repeatable calls before the request engine runs them.
+/// The at-most-once gate (`basic_at_most_once`): checks non-repeatable calls before the request
+/// engine runs them.
 namespace orchidlead {
 
 /// A non-repeatable call, as received.
@@ -88,8 +89,8 @@
 using at_most_once_verdict =
     std::variant<run_locally, attach_to_call, return_stored_answer, forward_to, refuse_call>;
 
-/// Action: send these bytes to the gate of a peer. The protocol tolerates loss, duplication and
-/// reordering of messages.
+/// Action: send these bytes to the at-most-once gate (`basic_at_most_once`) of a peer. The protocol
+/// tolerates loss, duplication and reordering of messages.
 struct peer_message
 {
     vm_id to;
@@ -102,7 +103,7 @@
     vm_id vm;
     orchidlead::incarnation incarnation = 0;
     data_center_id dataCenter;
-    /// How long a ticket or key may be used after it was issued.
+    /// How long a ticket (`ticket`) or idempotency key may be used after it was issued.
     milliseconds window{600'000};
     /// Largest difference between the wall clocks of two machines.
     milliseconds clockSkew{1'000};
@@ -115,10 +116,13 @@
     milliseconds listMemory{150'000};
     std::size_t maxRecords = 100'000;
     std::size_t maxAnswerBytes = 16U << 20U; ///< total of all stored answers
-    std::size_t maxTickets = 100'000; ///< minted and not yet expired
+    std::size_t maxTickets = 100'000; ///< issued by this process and not yet expired
 };
 
-/// Decides for each non-repeatable call whether this node runs it.
+/// The at-most-once gate of a node: decides for each non-repeatable call whether this node runs it.
+///
+/// A caller may send a call with a ticket, which a node has issued, or with an idempotency key,
+/// which the caller has chosen.
 ///
 /// Guarantees: over all nodes, the call of a ticket or key runs at most once. `NotRun` is reported
 /// for a ticket or key only if no node has run the call and none will. A request without ticket and
@@ -132,7 +136,8 @@
 public:
     basic_at_most_once(at_most_once_settings settings, const clock_source &clock);
 
-    /// Mints a ticket for the caller. Returns nothing while `maxTickets` are valid.
+    /// Issues (mints) a ticket for the caller, which this process accepts for one call. Returns
+    /// nothing while `maxTickets` are valid.
     [[nodiscard]] std::optional<std::string> mintTicket();
 
     [[nodiscard]] at_most_once_verdict onRequest(const non_repeatable_request &request);
@@ -150,11 +155,12 @@
     /// Renews leases and drops expired records. Must be called about every 250 ms.
     void tick(std::vector<peer_message> &out);
 
-    /// Processes a message of a peer's gate. Malformed messages are dropped and counted.
+    /// Processes a message of the at-most-once gate of a peer. Malformed messages are dropped and
+    /// counted.
     void onPeerMessage(const vm_id &from, std::string_view bytes, std::vector<peer_message> &out);
 
     /// Sets the VMs of this node's data centre, with the state of each as seen by this node.
-    /// `vmListConfirmedAt` is the time when the platform last confirmed the list, either to this
+    /// `vmListConfirmedAt` is the time when the platform last confirmed the VM list, either to this
     /// node or to the peer that relayed it.
     void setMembers(std::span<const member> members, steady_time vmListConfirmedAt);
 
@@ -169,7 +175,7 @@
     [[nodiscard]] shard_bits heldShards() const { return m_home.held(); }
 
     /// Returns the shards of which a key that is issued now would be accepted by this node.
-    [[nodiscard]] shard_bits certainShards() const { return m_home.certain(); }
+    [[nodiscard]] shard_bits shardsAcceptingNewKeys() const { return m_home.certain(); }
 
     [[nodiscard]] std::size_t recordCount() const { return m_records.size(); }
 
--- a/src/core/once/at_most_once_definitions.h
+++ b/src/core/once/at_most_once_definitions.h
@@ -7,7 +7,8 @@
 #include <algorithm>
 #include <utility>
 
-/// The member functions of `basic_at_most_once`, for instantiation with other guards.
+/// Definitions of the member functions of `basic_at_most_once`. They are in a header so that tests
+/// can instantiate them with single guards of the at-most-once protocol disabled.
 namespace orchidlead {
 
 namespace at_most_once_detail {
@@ -99,8 +100,9 @@
     return onNewTicket(request, value);
 }
 
-// A ticket that is not valid on this node may have run, or may still run on the node where it is
-// valid. Its outcome is therefore `Unknown`.
+// A ticket is valid only in the process that minted it, which keeps the record of its call. If it
+// is not valid here, the call may have run, or may still run, in that process. The outcome is
+// therefore `Unknown`.
 template <at_most_once_guards Guards>
 at_most_once_verdict basic_at_most_once<Guards>::onNewTicket(const non_repeatable_request &request,
                                                              const ticket &value)
@@ -343,8 +345,8 @@
         beginHandover(shard);
 }
 
-// This node accepts no new key of the shard from now on, so the records and the coverage that are
-// handed over are complete.
+// This node accepts no new key of the shard from now on, so the records and the lease's
+// coverage (`lease_coverage`) that are handed over are complete.
 template <at_most_once_guards Guards>
 void basic_at_most_once<Guards>::beginHandover(std::size_t shard)
 {
--- a/src/core/once/handover_sender.cpp
+++ b/src/core/once/handover_sender.cpp
@@ -94,7 +94,7 @@
     if (std::find(all.begin(), all.end(), false) != all.end())
         return std::nullopt;
     const ended_handover done{reply.shard,
-                              shard_successor{{from, reply.successor}, reply.successorRound}};
+                              shard_successor{{from, reply.successor}, reply.successorFirstRound}};
     m_shards.erase(found);
     return done;
 }
--- a/src/core/once/key_home_definitions.h
+++ b/src/core/once/key_home_definitions.h
@@ -6,7 +6,8 @@
 #include <algorithm>
 #include <utility>
 
-/// The member functions of `basic_key_home`, for instantiation with other guards.
+/// Definitions of the member functions of `basic_key_home`. They are in a header so that tests can
+/// instantiate them with single guards of the at-most-once protocol disabled.
 namespace orchidlead {
 
 namespace key_home_detail {
@@ -35,7 +36,7 @@
     : m_settings(std::move(settings))
     , m_clock(clock)
     , m_voter(m_settings.lease, clock)
-    , m_lists(m_settings.maxListAge, m_settings.listMemory)
+    , m_vmLists(m_settings.maxListAge, m_settings.listMemory)
 { }
 
 template <at_most_once_guards Guards>
@@ -53,9 +54,9 @@
             m_live.push_back(each.vm.vm);
     }
     const auto now = m_clock.now();
-    m_lists.tick(now);
-    m_lists.set(std::move(listed), confirmedAt, now);
-    std::erase_if(m_votes, [this](const auto &entry) { return !m_lists.contains(entry.first); });
+    m_vmLists.tick(now);
+    m_vmLists.set(std::move(listed), confirmedAt, now);
+    std::erase_if(m_votes, [this](const auto &entry) { return !m_vmLists.contains(entry.first); });
     for (std::size_t shard = 0; shard < ShardCount; ++shard)
         updateLease(shard);
 }
@@ -63,39 +64,40 @@
 template <at_most_once_guards Guards>
 bool basic_key_home<Guards>::eligible() const
 {
-    const auto &current = m_lists.current();
+    const auto &current = m_vmLists.current();
     const bool listed = std::find(current.begin(), current.end(), m_settings.vm) != current.end();
-    return listed && !m_leaving && listsUsable(m_clock.now());
+    return listed && !m_leaving && vmListsUsable(m_clock.now());
 }
 
 template <at_most_once_guards Guards>
-bool basic_key_home<Guards>::listsUsable(steady_time now) const
+bool basic_key_home<Guards>::vmListsUsable(steady_time now) const
 {
-    if (Guards::EveryRecentListAgrees && !m_lists.complete(now))
+    if (Guards::EveryRecentListAgrees && !m_vmLists.complete(now))
         return false;
-    return !Guards::ListMustBeConfirmed || now < m_lists.validUntil();
+    return !Guards::ListMustBeConfirmed || now < m_vmLists.validUntil();
 }
 
-// The lease ends when the votes expire or the list becomes too old, whichever comes first.
+// The lease ends when the votes expire or the VM list becomes too old, whichever comes first.
 template <at_most_once_guards Guards>
 steady_time basic_key_home<Guards>::leaseEnd(std::size_t shard, steady_time now) const
 {
-    if (!listsUsable(now))
+    if (!vmListsUsable(now))
         return steady_time::min();
     const auto voteOf = [this, shard](const vm_id &voter) {
         const auto found = m_votes.find(voter);
         return found == m_votes.end() ? steady_time::min() : found->second[shard].until;
     };
-    steady_time until = steady_time::min();
+    steady_time votesValidUntil = steady_time::min();
     if (Guards::MajorityOfVoters)
-        until = m_lists.majorityUntil(voteOf, Guards::EveryRecentListAgrees);
+        votesValidUntil = m_vmLists.majorityUntil(voteOf, Guards::EveryRecentListAgrees);
     else
-        until = voteOf(m_settings.vm);
-    return Guards::ListMustBeConfirmed ? std::min(until, m_lists.validUntil()) : until;
+        votesValidUntil = voteOf(m_settings.vm);
+    return Guards::ListMustBeConfirmed ? std::min(votesValidUntil, m_vmLists.validUntil())
+                                       : votesValidUntil;
 }
 
-// A lease that lapsed, however briefly, starts again with new coverage: another node may have held
-// it in between.
+// A lease that lapsed, however briefly, starts again with new coverage (`lease_coverage`): another
+// node may have held it in between.
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::updateLease(std::size_t shard)
 {
@@ -112,8 +114,9 @@
 }
 
 // Majorities intersect, so an earlier lease of another node included one of the current voters. It
-// ended no later than that voter's last promise to another holder. Coverage goes back at most
-// `maxListAge`, since an earlier holder may have used a list of that age.
+// ended no later than that voter's last promise to another holder. The lease's coverage (the time
+// span of issue of keys that no earlier home has accepted) goes back at most `maxListAge`, since an
+// earlier holder may have used a VM list of that age.
 template <at_most_once_guards Guards>
 wall_time basic_key_home<Guards>::coverageStart(std::size_t shard, steady_time now) const
 {
@@ -123,26 +126,27 @@
         if (Guards::CoverageAfterPromises && vote.until > now)
             since = std::max(since, vote.noOtherPromiseSince);
     }
-    const auto ago = std::max(now - since, steady_time::duration::zero());
-    return m_clock.wallNow() - std::chrono::duration_cast<wall_time::duration>(ago);
+    const auto coveredTime = std::max(now - since, steady_time::duration::zero());
+    return m_clock.wallNow() - std::chrono::duration_cast<wall_time::duration>(coveredTime);
 }
 
-// Coverage may be inherited only if no third node can have held the lease in between. The previous
-// home's lease must therefore still be valid by any clock within `clockSkew`.
+// The coverage of the previous home's lease may be inherited only if no third node can have held
+// the lease in between. The previous home's lease must therefore still be valid by any clock within
+// `clockSkew`.
 template <at_most_once_guards Guards>
 bool basic_key_home<Guards>::inheritable(const shard_state &state) const
 {
     if (!state.inherited)
         return false;
-    const auto limit = state.inherited->until - m_settings.clockSkew;
-    return !Guards::HandoverWithinLease || m_clock.wallNow() < limit;
+    const auto inheritableUntil = state.inherited->until - m_settings.clockSkew;
+    return !Guards::HandoverWithinLease || m_clock.wallNow() < inheritableUntil;
 }
 
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::tick(std::vector<key_home_outgoing> &out)
 {
     const auto now = m_clock.now();
-    m_lists.tick(now);
+    m_vmLists.tick(now);
     if (now < m_nextRoundAt) {
         startRound(shardsToRequest(true), out);
         return;
@@ -227,7 +231,7 @@
 void basic_key_home<Guards>::sendRelease(const lease_release &message,
                                          std::vector<key_home_outgoing> &out)
 {
-    for (const auto &voter : m_lists.voters()) {
+    for (const auto &voter : m_vmLists.voters()) {
         if (voter == m_settings.vm)
             onRelease(voter, message);
         else
@@ -246,7 +250,7 @@
         if ((shards & shardBit(shard)) != 0)
             m_shards[shard].requested = true;
     }
-    const auto voters = m_lists.voters();
+    const auto voters = m_vmLists.voters();
     for (const auto &voter : voters) {
         if (voter == m_settings.vm) {
             const auto own = m_voter.grant(self(), m_round, shards);
@@ -260,7 +264,7 @@
 void basic_key_home<Guards>::onRequest(const vm_id &from, const lease_request &message,
                                        std::vector<key_home_outgoing> &out)
 {
-    if (!m_lists.contains(from))
+    if (!m_vmLists.contains(from))
         return;
     const auto granted = m_voter.grant({from, message.holder}, message.round, message.shards);
     const auto free = std::chrono::floor<milliseconds>(m_clock.now() - granted.noOtherPromiseSince);
@@ -274,7 +278,7 @@
 void basic_key_home<Guards>::onVote(const vm_id &from, const lease_vote &message)
 {
     const bool tracked = message.round <= m_round && message.round + TrackedRounds > m_round;
-    if (message.holder != m_settings.incarnation || !tracked || !m_lists.contains(from))
+    if (message.holder != m_settings.incarnation || !tracked || !m_vmLists.contains(from))
         return;
     const auto noOtherPromiseSince =
         m_clock.now() - milliseconds{message.noOtherPromiseMilliseconds};
@@ -307,8 +311,8 @@
     m_voter.release(from, message);
 }
 
-// Reads the wall clock first. In the other order, a pause between the two reads would let a key
-// pass that was issued during the pause, when the lease may already have ended.
+// Reads the wall clock first. In the other order, a pause of the process between the two reads
+// would let a key pass that was issued during the pause, when the lease may already have ended.
 template <at_most_once_guards Guards>
 key_admission basic_key_home<Guards>::admission(std::size_t shard, wall_time issued) const
 {
@@ -385,7 +389,8 @@
 }
 
 // Without a successor, the votes are left to expire. If they were released, a node that is still
-// waiting to inherit an earlier home's coverage could miss keys that this node accepted.
+// waiting to inherit the coverage of an earlier home's lease could miss keys that this node
+// accepted.
 template <at_most_once_guards Guards>
 void basic_key_home<Guards>::endLease(std::size_t shard,
                                       const std::optional<shard_successor> &successor,
--- a/src/core/once/key_home_messages.cpp
+++ b/src/core/once/key_home_messages.cpp
@@ -54,7 +54,7 @@
             message.shards,
             message.successor.value,
             message.successorIncarnation,
-            message.successorRound};
+            message.successorFirstRound};
 }
 
 handover_wire toWire(const shard_handover &message)
@@ -81,7 +81,7 @@
             message.shard,
             message.part,
             message.successor,
-            message.successorRound,
+            message.successorFirstRound,
             message.accepted};
 }
 
@@ -104,12 +104,12 @@
 
 std::optional<key_home_message> fromRelease(const release_wire &wire)
 {
-    const auto &[type, holder, round, shards, successor, successorIncarnation, successorRound] =
-        wire;
+    const auto &[type, holder, round, shards, successor, successorIncarnation,
+                 successorFirstRound] = wire;
     if (successor.size() > MaxTextBytes)
         return std::nullopt;
-    return lease_release{holder,        round, shards, vm_id{successor}, successorIncarnation,
-                         successorRound};
+    return lease_release{
+        holder, round, shards, vm_id{successor}, successorIncarnation, successorFirstRound};
 }
 
 std::optional<key_home_message> fromHandover(const handover_wire &wire)
@@ -131,10 +131,10 @@
 
 std::optional<key_home_message> fromReply(const reply_wire &wire)
 {
-    const auto &[type, holder, shard, part, successor, successorRound, accepted] = wire;
+    const auto &[type, holder, shard, part, successor, successorFirstRound, accepted] = wire;
     if (shard >= ShardCount || part >= MaxHandoverParts)
         return std::nullopt;
-    return handover_reply{holder, shard, part, successor, successorRound, accepted};
+    return handover_reply{holder, shard, part, successor, successorFirstRound, accepted};
 }
 
 std::optional<key_home_message> fromObject(const msgpack::object &object)
--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -154,13 +154,13 @@
 
 namespace {
 
-Json::Value viewKeyHomes(const at_most_once &gate)
+Json::Value viewKeyHomes(const at_most_once &atMostOnce)
 {
     Json::Value out{Json::objectValue};
     out["shards"] = count(ShardCount);
-    out["held"] = std::popcount(gate.heldShards());
-    out["certain"] = std::popcount(gate.certainShards());
-    out["records"] = count(gate.recordCount());
+    out["held"] = std::popcount(atMostOnce.heldShards());
+    out["certain"] = std::popcount(atMostOnce.shardsAcceptingNewKeys());
+    out["records"] = count(atMostOnce.recordCount());
     return out;
 }
 
@@ -182,7 +182,7 @@
     out["configuration_version"] = count(configuration ? configuration->version : 0);
     out["uptime_ms"] = time(process.uptime);
     out["connections"] = count(process.connections);
-    out["key_homes"] = viewKeyHomes(state.gate());
+    out["key_homes"] = viewKeyHomes(state.atMostOnce());
     Json::Value &requests = out["requests"];
     requests = viewOutcomes(stats.outcomes);
     requests["open"] = count(state.openRequests());
--- a/src/daemon/peer_link.cpp
+++ b/src/daemon/peer_link.cpp
@@ -104,7 +104,7 @@
         });
 }
 
-// The gate's protocol bears loss: nothing is to be done where the call fails.
+// The protocol of the at-most-once gate tolerates lost messages, so a failed call is ignored.
 void peer_link::sendGateMessage(const socket_address &peer, const std::string &bytes)
 {
     m_client.sendGateMessage(peer, {m_self, bytes}, GateMessageTimeout, [](const auto &) {});
--- a/src/daemon/peer_link.h
+++ b/src/daemon/peer_link.h
@@ -37,8 +37,8 @@
     std::function<void(const vm_id &vm)> onContentFailed;
 };
 
-/// Talks to the other nodes over TCP: configuration contents, forwarded requests, and the gate's
-/// messages that don't fit a datagram.
+/// Talks to the other nodes over TCP: configuration contents, forwarded requests, and those
+/// messages of the at-most-once gate (`at_most_once`) that don't fit a datagram.
 class peer_link
 {
 public:
--- a/src/wire/peer_messages.h
+++ b/src/wire/peer_messages.h
@@ -38,7 +38,7 @@
     std::string bytes;
 };
 
-/// The peer has handed the bytes to its gate.
+/// The peer has passed the bytes to its at-most-once gate.
 struct gate_message_taken
 { };
 
--- a/tests/wire/fuzz_test.cpp
+++ b/tests/wire/fuzz_test.cpp
@@ -263,7 +263,7 @@
     };
 }
 
-TEST_CASE("Fuzz: an accepted message of the gate is encoded and read again")
+TEST_CASE("Fuzz: an accepted message of the at-most-once gate is encoded and read again")
 {
     CHECK(fuzz(keyHomeCorpus(), DefaultRounds,
                [](const auto &text, auto &) {
--- a/tests/wire/peer_rpc_test.cpp
+++ b/tests/wire/peer_rpc_test.cpp
@@ -89,7 +89,7 @@
     CHECK(answer->error().failure == peer_failure::Refused);
 }
 
-TEST_CASE("A gate's message of any bytes arrives as it was sent")
+TEST_CASE("A message of the at-most-once gate with any bytes arrives as it was sent")
 {
     peer_pair pair;
     std::string bytes;
