--- a/include/orchidlead/membership.h
+++ b/include/orchidlead/membership.h
@@ -209,7 +209,8 @@
     void onDatagram(const socket_address &from, std::string_view bytes, membership_actions &out);
     /// Runs timers; call every 50 to 100 ms.
     void tick(membership_actions &out);
-    /// Detects a pause of the process; call before acting on earlier state.
+    /// Detects a pause of the process, that is, a time in which it did not run; call before acting
+    /// on earlier state.
     void detectPause(membership_actions &out);
 
     /// Sets the stamp that every datagram carries.
--- a/src/core/membership/gossip_message.cpp
+++ b/src/core/membership/gossip_message.cpp
@@ -102,14 +102,14 @@
             && object->via.bin.size <= MaxGossipHashes * HashBytes;
         if (!m_valid)
             return {};
-        std::vector<std::uint32_t> found(object->via.bin.size / HashBytes);
+        std::vector<std::uint32_t> decoded(object->via.bin.size / HashBytes);
         for (std::size_t i = 0; i < object->via.bin.size; ++i)
-            found[i / HashBytes] = (found[i / HashBytes] << BitsPerByte)
+            decoded[i / HashBytes] = (decoded[i / HashBytes] << BitsPerByte)
                 | static_cast<unsigned char>(object->via.bin.ptr[i]);
-        return found;
+        return decoded;
     }
 
-    bool flag()
+    bool readBoolean()
     {
         const auto *object = next();
         m_valid = object && object->type == msgpack::type::BOOLEAN;
@@ -188,7 +188,7 @@
     message.slice.index = static_cast<std::uint32_t>(fields.number(MaxTableSlices - 1));
     message.slice.count = static_cast<std::uint32_t>(fields.number(MaxTableSlices));
     message.hashes = fields.hashes();
-    message.truncated = fields.flag();
+    message.truncated = fields.readBoolean();
     const auto *updates = fields.next();
     if (!updates || !readUpdates(*updates, message.updates))
         return gossip_error::Malformed;
--- a/src/core/membership/gossip_message.h
+++ b/src/core/membership/gossip_message.h
@@ -103,7 +103,8 @@
     configuration_stamp configuration;
     std::uint32_t digest = 0; ///< of the sender's member table
     std::uint64_t listVersion = 0; ///< of the sender's VM list
-    /// Time since the platform last confirmed that list; `MaxListAge` if longer or never.
+    /// Time since the platform last confirmed the sender's VM list; `MaxListAge` if longer or
+    /// never.
     milliseconds listAge{MaxListAge};
     std::string application;
     vm_id target; ///< of an indirect probe
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -134,14 +134,14 @@
 {
     if (m_digest)
         return *m_digest;
-    std::uint32_t sum = 0;
+    std::uint32_t combinedHash = 0;
     for (const auto &[vm, record] : m_records) {
         const bool expiring = record.status == member_status::Dead && !record.listed;
         if (record.generation > 0 && !expiring)
-            sum ^= recordHash(record);
+            combinedHash ^= recordHash(record);
     }
-    m_digest = sum;
-    return sum;
+    m_digest = combinedHash;
+    return combinedHash;
 }
 
 std::size_t member_table::unlisted() const
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -124,7 +124,7 @@
 }
 
 // Members that are no longer on the VM list are kept until they are dead, since the list lags and
-// may no longer be updated. They take no roles.
+// may no longer be updated. They neither vote on nor hold leases on idempotency keys.
 void membership::implementation::removeInactiveUnlisted()
 {
     std::vector<vm_id> removed;
@@ -223,7 +223,7 @@
 }
 
 // The age is subtracted from the time at which the probe was sent. An answer delayed in a buffer
-// can then only make the list seem older than it is, never newer.
+// can then only make the VM list seem older than it is, never newer.
 void membership::implementation::updateListConfirmation(const gossip_message &message,
                                                         steady_time probeSentAt)
 {
--- a/src/core/membership/membership_gossip.cpp
+++ b/src/core/membership/membership_gossip.cpp
@@ -80,8 +80,9 @@
     const auto *record = table.find(vm);
     if (!record)
         return;
-    // A process that has just started may lack a VM list if the platform is unreachable. It gets
-    // the descriptions of other members from their probes.
+    // The receiver may have just started: no update of it is known, or it counts as dead. If the
+    // platform is unreachable, it has no VM list and accepts messages only from members that
+    // describe themselves.
     if (record->generation == 0 || record->status == member_status::Dead)
         describeSelf(message);
     addQueuedUpdates(message, vm);
