--- a/include/orchidlead/fair_queue.h
+++ b/include/orchidlead/fair_queue.h
@@ -62,9 +62,11 @@
     [[nodiscard]] bool empty() const { return m_size == 0; }
 
     /// Estimates how many items of the lane would go before a new one of `customer`, if that
-    /// customer had `ownExpected` and all customers together `expected` more items in the queue.
+    /// customer had `customerExpected` and all customers together `expected` more items in the
+    /// queue.
     [[nodiscard]] std::size_t ahead(std::uint32_t lane, const customer_id &customer,
-                                    std::size_t ownExpected = 0, std::size_t expected = 0) const;
+                                    std::size_t customerExpected = 0,
+                                    std::size_t expected = 0) const;
 
 private:
     /// Orders the items of one customer.
@@ -117,7 +119,7 @@
     {
         std::unordered_map<customer_id, customer_queue> customers;
         std::set<tagged_customer> active; ///< by start tag
-        std::set<tagged_customer> bySize;
+        std::set<tagged_customer> activeByItemCount; ///< the active customers, by queued items
         std::set<tagged_customer> idle; ///< by finish tag
         std::size_t size = 0;
         double virtualTime = 0.0;
@@ -230,9 +232,9 @@
         lane.idle.erase(byFinish(queue));
         activate(lane, queue);
     }
-    lane.bySize.erase(byItemCount(queue));
+    lane.activeByItemCount.erase(byItemCount(queue));
     queue.items.emplace(key, queued_item{std::move(item), cost});
-    lane.bySize.insert(byItemCount(queue));
+    lane.activeByItemCount.insert(byItemCount(queue));
     return position;
 }
 
@@ -270,13 +272,13 @@
     customer_queue &queue = *lane.active.begin()->queue;
     lane.active.erase(lane.active.begin());
     lane.virtualTime = queue.start;
-    lane.bySize.erase(byItemCount(queue));
+    lane.activeByItemCount.erase(byItemCount(queue));
     Item item = takeFirst(lane, queue);
     if (queue.items.empty()) {
         deactivate(lane, queue);
         return item;
     }
-    lane.bySize.insert(byItemCount(queue));
+    lane.activeByItemCount.insert(byItemCount(queue));
     activate(lane, queue);
     return item;
 }
@@ -300,12 +302,12 @@
     if (it == lane.customers.end() || it->second.items.count(key) == 0)
         return false;
     customer_queue &queue = it->second;
-    lane.bySize.erase(byItemCount(queue));
+    lane.activeByItemCount.erase(byItemCount(queue));
     queue.items.erase(key);
     --lane.size;
     --m_size;
     if (!queue.items.empty()) {
-        lane.bySize.insert(byItemCount(queue));
+        lane.activeByItemCount.insert(byItemCount(queue));
         return true;
     }
     lane.active.erase(byStart(queue));
@@ -320,9 +322,9 @@
     laneNumber = std::min(laneNumber, Lanes - 1);
     for (std::uint32_t number = Lanes; number-- > laneNumber;) {
         lane_state &lane = m_lanes[number];
-        if (lane.bySize.empty())
+        if (lane.activeByItemCount.empty())
             continue;
-        customer_queue &largest = *lane.bySize.rbegin()->queue;
+        customer_queue &largest = *lane.activeByItemCount.rbegin()->queue;
         const auto own = lane.customers.find(customer);
         const std::size_t ownItems = own == lane.customers.end() ? 0 : own->second.items.size();
         const bool sameLane = number == laneNumber;
@@ -344,13 +346,14 @@
 // each other customer go before it.
 template <class Item>
 std::size_t fair_queue<Item>::ahead(std::uint32_t laneNumber, const customer_id &customer,
-                                    std::size_t ownExpected, std::size_t expected) const
+                                    std::size_t customerExpected, std::size_t expected) const
 {
     const lane_state &lane = m_lanes[std::min(laneNumber, Lanes - 1)];
     const auto own = lane.customers.find(customer);
     const std::size_t ownItems = own == lane.customers.end() ? 0 : own->second.items.size();
     const std::size_t isNew = ownItems == 0 ? 1 : 0;
-    const std::size_t fairShare = (ownItems + ownExpected + 1) * (lane.active.size() + isNew) - 1;
+    const std::size_t fairShare =
+        (ownItems + customerExpected + 1) * (lane.active.size() + isNew) - 1;
     return std::min(lane.size + expected, fairShare);
 }
 
--- a/src/core/servers/failure_detector.cpp
+++ b/src/core/servers/failure_detector.cpp
@@ -36,11 +36,11 @@
 {
     if (view.tail.count() == 0)
         return DefaultThreshold;
-    const microseconds relaxed =
+    const microseconds relaxedTimeout =
         scaled(view.tail, RelaxedTailMultiple * (1.0 - view.suspectedShare));
-    const microseconds earliest = scaled(view.tail, MinTailMultiple);
-    const microseconds latest = view.slack / 2;
-    return std::max({MinThreshold, earliest, std::min(relaxed, latest)});
+    const microseconds minTimeout = scaled(view.tail, MinTailMultiple);
+    const microseconds maxTimeout = view.slack / 2;
+    return std::max({MinThreshold, minTimeout, std::min(relaxedTimeout, maxTimeout)});
 }
 
 failure_detector::failure_detector(const failure_detector_settings &settings)
@@ -120,14 +120,15 @@
 
 std::optional<steady_time> failure_detector::nextProbeAt() const
 {
-    std::optional<steady_time> next;
+    std::optional<steady_time> earliestEnd;
     if (m_suspected == 0)
-        return next;
+        return earliestEnd;
     for (const slot_state &state : m_slots) {
-        if (state.health == server_health::Ejected && (!next || state.ejectedUntil < *next))
-            next = state.ejectedUntil;
+        if (state.health == server_health::Ejected
+            && (!earliestEnd || state.ejectedUntil < *earliestEnd))
+            earliestEnd = state.ejectedUntil;
     }
-    return next;
+    return earliestEnd;
 }
 
 double failure_detector::suspectedShare() const
--- a/src/core/servers/leaving_server_set.h
+++ b/src/core/servers/leaving_server_set.h
@@ -37,7 +37,7 @@
 
 private:
     const clock_source &m_clock;
-    /// With the time at which the change was received.
+    /// The leaving servers, each with the time at which its change was received.
     std::unordered_map<backend_server_id, steady_time> m_leaving;
 };
 
--- a/src/core/servers/service_pool.h
+++ b/src/core/servers/service_pool.h
@@ -75,20 +75,21 @@
 
     void onDispatched(std::uint32_t slot, steady_time now);
 
-    /// `typical` is the median duration of such an attempt, by which the latency is normalized for
-    /// the size of the input. Zero: unknown.
-    [[nodiscard]] health_change onAnswered(std::uint32_t slot, duration elapsed, duration typical,
-                                           steady_time now);
+    /// Ends an attempt that was answered after `elapsed`. `medianTime` is the median duration of
+    /// attempts of the same stage and size class, by which the latency is normalized for the size
+    /// of the input; zero: unknown.
+    [[nodiscard]] health_change onAnswered(std::uint32_t slot, duration elapsed,
+                                           duration medianTime, steady_time now);
     [[nodiscard]] health_change onFailed(std::uint32_t slot, attempt_failure failure,
                                          std::optional<milliseconds> retryAfter, steady_time now);
 
     /// Counts a failure of a server that has exceeded the silence threshold of a running attempt.
     [[nodiscard]] health_change onSuspicionTimeout(std::uint32_t slot, duration elapsed,
-                                                   duration typical, steady_time now);
+                                                   duration medianTime, steady_time now);
 
     /// Records that another server answered first, so that `elapsed` is a lower bound of this one's
     /// latency.
-    void onLatencyLowerBound(std::uint32_t slot, duration elapsed, duration typical,
+    void onLatencyLowerBound(std::uint32_t slot, duration elapsed, duration medianTime,
                              steady_time now);
 
     /// Ends an attempt that this node abandoned.
@@ -140,14 +141,15 @@
 
     std::uint32_t addServer(const backend_server &server);
     void releaseIfUnused(std::uint32_t slot);
-    void refresh(std::uint32_t slot, steady_time now);
-    void refreshAll(steady_time now);
+    /// Updates the limit and the availability of one server for routing.
+    void updateAvailability(std::uint32_t slot, steady_time now);
+    void updateAllAvailability(steady_time now);
     [[nodiscard]] bool isAvailable(std::uint32_t slot, steady_time now) const;
     [[nodiscard]] std::uint32_t effectiveLimit(std::uint32_t slot) const;
     void list(std::uint32_t slot);
     void unlist(std::uint32_t slot);
-    [[nodiscard]] double normalized(duration elapsed, duration typical) const;
-    void observe(std::uint32_t slot, duration elapsed, duration typical);
+    [[nodiscard]] double normalized(duration elapsed, duration medianTime) const;
+    void observe(std::uint32_t slot, duration elapsed, duration medianTime);
     void decayStaleLatencies(steady_time now);
     void decayStartRates(steady_time now);
     [[nodiscard]] double laneRate(std::uint32_t lane) const;
--- a/src/core/servers/service_pool_impl.h
+++ b/src/core/servers/service_pool_impl.h
@@ -12,6 +12,7 @@
 namespace orchidlead {
 
 namespace pool_constants {
+/// Weights of a new sample in the moving averages of a server's latency and of the pool.
 inline constexpr double LatencyWeight = 1.0 / 6;
 inline constexpr double PoolAverageWeight = 1.0 / 32;
 inline constexpr double DecayPerInterval = 0.1;
@@ -20,6 +21,7 @@
 inline constexpr std::chrono::seconds BusyWindow{1};
 inline constexpr milliseconds MaxBackoff{5'000};
 inline constexpr std::chrono::seconds LeavingHoldTime{5};
+/// Weight of a new sample in the moving average of the queue wait.
 inline constexpr double QueueWaitWeight = 1.0 / 16;
 inline constexpr double LowLaneShare = 1.0 / 8; ///< as in `fair_queue::LowLaneEvery`
 } // namespace pool_constants
@@ -69,7 +71,7 @@
     }
     m_members = static_cast<std::uint32_t>(members.size());
     m_router.onMembers(m_entries, members);
-    refreshAll(now);
+    updateAllAvailability(now);
     for (std::uint32_t slot = 0; slot < m_servers.size(); ++slot)
         releaseIfUnused(slot);
 }
@@ -93,7 +95,7 @@
 {
     for (server_entry &entry : m_servers)
         entry.listedLeaving = leaving.count(entry.server.id) > 0;
-    refreshAll(now);
+    updateAllAvailability(now);
 }
 
 // A report may be older than the refusal in which the server stated that it is leaving.
@@ -112,7 +114,7 @@
         entry.reportedLeaving = report.leaving;
     if (report.leaving)
         entry.reportedLeavingAt = now;
-    refreshAll(now);
+    updateAllAvailability(now);
 }
 
 template <class Policies>
@@ -133,7 +135,7 @@
 {
     ++m_entries[slot].outstanding;
     ++m_inFlight;
-    refresh(slot, now);
+    updateAvailability(slot, now);
 }
 
 template <class Policies>
@@ -141,28 +143,30 @@
 {
     --m_entries[slot].outstanding;
     --m_inFlight;
-    refresh(slot, now);
+    updateAvailability(slot, now);
     releaseIfUnused(slot);
 }
 
 // Normalizes an attempt's duration for the size of the input, so that it reflects the server's
 // speed.
 template <class Policies>
-double service_pool<Policies>::normalized(duration elapsed, duration typical) const
+double service_pool<Policies>::normalized(duration elapsed, duration medianTime) const
 {
     const double time = std::chrono::duration<double, std::milli>(elapsed).count();
-    const double typicalTime = std::chrono::duration<double, std::milli>(typical).count();
-    return typicalTime > 0.0 && m_poolLatency > 0.0 ? time / typicalTime * m_poolLatency : time;
+    const double medianMilliseconds = std::chrono::duration<double, std::milli>(medianTime).count();
+    return medianMilliseconds > 0.0 && m_poolLatency > 0.0
+        ? time / medianMilliseconds * m_poolLatency
+        : time;
 }
 
 template <class Policies>
-void service_pool<Policies>::observe(std::uint32_t slot, duration elapsed, duration typical)
+void service_pool<Policies>::observe(std::uint32_t slot, duration elapsed, duration medianTime)
 {
     using namespace pool_constants;
     const double time = std::chrono::duration<double, std::milli>(elapsed).count();
     m_meanDuration =
         m_meanDuration == 0.0 ? time : m_meanDuration + (time - m_meanDuration) * PoolAverageWeight;
-    const double sample = normalized(elapsed, typical);
+    const double sample = normalized(elapsed, medianTime);
     m_poolLatency = m_poolLatency == 0.0
         ? sample
         : m_poolLatency + (std::min(sample, 4 * m_poolLatency) - m_poolLatency) * PoolAverageWeight;
@@ -172,14 +176,14 @@
 
 template <class Policies>
 health_change service_pool<Policies>::onAnswered(std::uint32_t slot, duration elapsed,
-                                                 duration typical, steady_time now)
+                                                 duration medianTime, steady_time now)
 {
     server_entry &entry = m_servers[slot];
     ++entry.answers;
     entry.lastSample = now;
     m_lastAnswer = now;
     m_latencies.observe(elapsed);
-    observe(slot, elapsed, typical);
+    observe(slot, elapsed, medianTime);
     decayStaleLatencies(now);
     const duration sample{static_cast<std::int64_t>(m_entries[slot].latency * 1000.0)};
     entry.limit.onAnswer(sample, m_entries[slot].outstanding - 1, now);
@@ -221,27 +225,27 @@
     }
     onReleased(slot, now);
     if (failure == attempt_failure::Leaving)
-        refreshAll(now);
+        updateAllAvailability(now);
     return change;
 }
 
 template <class Policies>
 health_change service_pool<Policies>::onSuspicionTimeout(std::uint32_t slot, duration elapsed,
-                                                         duration typical, steady_time now)
+                                                         duration medianTime, steady_time now)
 {
-    onLatencyLowerBound(slot, elapsed, typical, now);
+    onLatencyLowerBound(slot, elapsed, medianTime, now);
     breaker.onFailure(slot, m_members, now);
     const health_change change = onHealth(slot, m_detector.onFailure(slot, now), now);
-    refresh(slot, now);
+    updateAvailability(slot, now);
     return change;
 }
 
 template <class Policies>
 void service_pool<Policies>::onLatencyLowerBound(std::uint32_t slot, duration elapsed,
-                                                 duration typical, steady_time now)
+                                                 duration medianTime, steady_time now)
 {
     double &latency = m_entries[slot].latency;
-    const double lowerBound = normalized(elapsed, typical);
+    const double lowerBound = normalized(elapsed, medianTime);
     if (lowerBound <= latency)
         return;
     latency = lowerBound;
@@ -294,7 +298,7 @@
         if (entry.member && entry.backoffUntil > now)
             wakeAt(entry.backoffUntil);
     }
-    refreshAll(now);
+    updateAllAvailability(now);
 }
 
 // A server that is avoided gives no new samples. Without decay towards the pool's latency it would
@@ -333,7 +337,7 @@
 }
 
 template <class Policies>
-void service_pool<Policies>::refresh(std::uint32_t slot, steady_time now)
+void service_pool<Policies>::updateAvailability(std::uint32_t slot, steady_time now)
 {
     routing_entry &entry = m_entries[slot];
     entry.limit = effectiveLimit(slot);
@@ -345,11 +349,11 @@
 }
 
 template <class Policies>
-void service_pool<Policies>::refreshAll(steady_time now)
+void service_pool<Policies>::updateAllAvailability(steady_time now)
 {
     m_usable = 0;
     for (std::uint32_t slot = 0; slot < m_servers.size(); ++slot) {
-        refresh(slot, now);
+        updateAvailability(slot, now);
         const server_entry &entry = m_servers[slot];
         m_usable += entry.member && !entry.leaving() ? 1 : 0;
     }
@@ -442,8 +446,8 @@
 std::size_t service_pool<Policies>::ahead(std::uint32_t lane, const customer_id &customer) const
 {
     const auto own = m_expectedOf.find(customer);
-    const std::size_t ownExpected = own == m_expectedOf.end() ? 0 : own->second;
-    return queue.ahead(lane, customer, ownExpected, m_expected);
+    const std::size_t customerExpected = own == m_expectedOf.end() ? 0 : own->second;
+    return queue.ahead(lane, customer, customerExpected, m_expected);
 }
 
 template <class Policies>
