--- a/src/core/requests/answer_codec.cpp
+++ b/src/core/requests/answer_codec.cpp
@@ -15,13 +15,13 @@
 std::optional<final_answer> fromWire(const answer_wire &wire)
 {
     const auto &[request, outcomeName, reasonName, detail, hasOutput, output] = wire;
-    const auto ended = fromName<outcome>(outcomeName);
+    const auto parsedOutcome = fromName<outcome>(outcomeName);
     const auto reason = fromName<refusal_reason>(reasonName);
-    if (!ended || !reason)
+    if (!parsedOutcome || !reason)
         return std::nullopt;
     final_answer answer;
     answer.request = request_id{request};
-    answer.outcome = *ended;
+    answer.outcome = *parsedOutcome;
     answer.reason = *reason;
     answer.detail = detail;
     if (hasOutput)
--- a/src/core/requests/engine_stages_impl.h
+++ b/src/core/requests/engine_stages_impl.h
@@ -152,12 +152,12 @@
     const auto evicted = pool.queue.evictFor(lane, state.plan().customer);
     if (!evicted)
         return false;
-    request_state *other = findRequest(evicted->request);
-    if (other == nullptr)
+    request_state *evictedRequest = findRequest(evicted->request);
+    if (evictedRequest == nullptr)
         return true;
-    other->stages[evicted->stage].status = stage_status::Waiting;
+    evictedRequest->stages[evicted->stage].status = stage_status::Waiting;
     ++pool.refused;
-    finishUnanswered(*other,
+    finishUnanswered(*evictedRequest,
                      {refusal_reason::Overloaded, "made room for others in a full queue",
                       addJitter(milliseconds{1000})},
                      out);
--- a/src/core/requests/engine_types.h
+++ b/src/core/requests/engine_types.h
@@ -13,7 +13,8 @@
 #include <variant>
 #include <vector>
 
-/// Messages between the request engine, which makes decisions, and the shell, which executes them.
+/// Messages between the request engine, which makes decisions, and the I/O layer, which executes
+/// them.
 namespace orchidlead {
 
 /// A request that has passed the caller API and the at-most-once check.
@@ -44,7 +45,7 @@
     socket_address address;
     payload input;
     std::vector<stage_input> previous;
-    steady_time deadline; ///< checked again by the shell immediately before sending
+    steady_time deadline; ///< checked again by the I/O layer immediately before sending
     bool stream = false;
 };
 
--- a/src/core/requests/request_engine.h
+++ b/src/core/requests/request_engine.h
@@ -39,7 +39,7 @@
 /// answer. A deterministic state machine: its inputs are events and the time, its outputs are
 /// actions.
 ///
-/// Event functions append actions to `out`. The shell executes them in order.
+/// Event functions append actions to `out`. The I/O layer executes them in order.
 template <class Policies>
 class basic_request_engine
 {
--- a/src/core/requests/request_state.h
+++ b/src/core/requests/request_state.h
@@ -39,7 +39,8 @@
     queue_position position; ///< while queued
     steady_time readySince; ///< when all inputs were available
     payload output;
-    /// Whether the pool counts the stage as expected; until the stage is queued for the first time.
+    /// Whether the service's pool counts the stage among the work expected later
+    /// (`service_pool::addExpected`); until the stage is queued for the first time.
     bool countedAsExpected = true;
     bool attemptMayHaveRun = false; ///< whether an ended attempt may have run
     /// Number of the attempt whose chunks are delivered; 0: none.
