--- a/src/core/settings/settings.h
+++ b/src/core/settings/settings.h
@@ -31,14 +31,14 @@
     std::string keyFile; ///< PEM
 };
 
-/// Services of the platform, and limits on the rate of calls to them.
+/// Services of the platform that the daemon reads: the configuration service and the VM list.
 struct platform_settings
 {
     socket_address configurationService;
     socket_address vmList;
-    milliseconds readWait{30'000}; ///< of one long poll
-    milliseconds minReadInterval{500}; ///< between the starts of two reads
-    milliseconds maxBackoff{5'000}; ///< after failed reads
+    milliseconds readWait{30'000}; ///< of one long poll of a service
+    milliseconds minReadInterval{500}; ///< between the starts of two reads of the same service
+    milliseconds maxBackoff{5'000}; ///< after failed reads of a service
     std::uint32_t readersPerDataCenter = 3;
 };
 
