--- a/src/http/acceptor.cpp
+++ b/src/http/acceptor.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// Connections that wait to be accepted. A dropped opening packet costs the client a second, so the
-// queue holds more than any burst seen.
+// Connections waiting to be accepted. A dropped SYN costs the client 1 s until it is retransmitted,
+// so the queue is longer than any observed burst.
 constexpr int Backlog = 1024;
-// After an accept that failed for want of descriptors.
-constexpr milliseconds AcceptPause{50};
+// Delay before the next accept after one that failed for lack of file descriptors.
+constexpr milliseconds AcceptRetryDelay{50};
 
 } // namespace
 
@@ -56,7 +56,7 @@
                 if (error == asio::error::operation_aborted || !self->m_acceptor.is_open())
                     return;
                 if (error) {
-                    self->m_loop.callAfter(AcceptPause, [self] { self->accept(); });
+                    self->m_loop.callAfter(AcceptRetryDelay, [self] { self->accept(); });
                     return;
                 }
                 self->m_onAccept(std::make_shared<stream_socket>(std::move(socket)));
@@ -66,7 +66,7 @@
 
     void close()
     {
-        error_code ignored; // released whatever the kernel answers
+        error_code ignored; // the descriptor is released even on an error
         m_acceptor.close(ignored);
     }
 
@@ -78,8 +78,8 @@
     handler m_onAccept;
 };
 
-acceptor::acceptor(std::shared_ptr<implementation> made)
-    : m_implementation(std::move(made))
+acceptor::acceptor(std::shared_ptr<implementation> created)
+    : m_implementation(std::move(created))
 { }
 
 acceptor::~acceptor()
@@ -90,11 +90,11 @@
 result<std::unique_ptr<acceptor>, listen_error>
 acceptor::create(io_loop &loop, const socket_address &at, handler onAccept)
 {
-    auto made = std::make_shared<implementation>(loop, std::move(onAccept));
-    if (auto error = made->open(at))
+    auto created = std::make_shared<implementation>(loop, std::move(onAccept));
+    if (auto error = created->open(at))
         return std::move(*error);
-    made->accept();
-    return std::unique_ptr<acceptor>(new acceptor(std::move(made)));
+    created->accept();
+    return std::unique_ptr<acceptor>(new acceptor(std::move(created)));
 }
 
 std::uint16_t acceptor::port() const
--- a/src/http/acceptor.h
+++ b/src/http/acceptor.h
@@ -11,7 +11,7 @@
 
 namespace orchidlead::http {
 
-/// Says what the operating system refused.
+/// Operating system error on opening the listening socket.
 struct listen_error
 {
     std::string what;
@@ -25,7 +25,7 @@
 
     [[nodiscard]] static result<std::unique_ptr<acceptor>, listen_error>
     create(io_loop &loop, const socket_address &at, handler onAccept);
-    /// Accepts no more; open connections go on.
+    /// Stops accepting; connections accepted before stay open.
     ~acceptor();
     acceptor(const acceptor &) = delete;
     acceptor &operator=(const acceptor &) = delete;
@@ -34,7 +34,7 @@
 
 private:
     class implementation;
-    explicit acceptor(std::shared_ptr<implementation> made);
+    explicit acceptor(std::shared_ptr<implementation> created);
     std::shared_ptr<implementation> m_implementation;
 };
 
--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// A healthy server in another data centre answers within 40 ms. A lost packet would be sent again
-// only after a second: by then another server has answered.
+// A healthy server in another data centre answers within 40 ms. A lost SYN is retransmitted only
+// after 1 s; by then, another server has answered.
 constexpr milliseconds ConnectTimeout{400};
-// How long a connection is kept free where the server doesn't say how long it keeps it.
-constexpr milliseconds DefaultKeep{3000};
-// A free connection isn't used in the last part of the time that the server keeps it: the server
-// might close it while the request is on its way.
-constexpr milliseconds KeepMargin{700};
+// Idle time for which a connection is kept if the server states no keep-alive timeout.
+constexpr milliseconds DefaultKeepAlive{3000};
+// An idle connection is not reused this close to the end of its keep-alive timeout, since the
+// server might close it while the request is in transit.
+constexpr milliseconds KeepAliveMargin{700};
 
 } // namespace
 
@@ -27,7 +27,7 @@
     *m_alive = false;
     for (const auto &[id, connection] : std::exchange(m_calls, {}))
         connection->abandon();
-    for (const auto &[address, connections] : std::exchange(m_free, {})) {
+    for (const auto &[address, connections] : std::exchange(m_idle, {})) {
         for (const auto &each : connections)
             each.connection->close();
     }
@@ -36,29 +36,30 @@
 pool_call connection_pool::start(const socket_address &to, outbound_call call)
 {
     const pool_call id = ++m_lastCall;
-    call.onEnd = [this, id, onEnd = std::move(call.onEnd)](call_end how) {
+    call.onEnd = [this, id, onEnd = std::move(call.onEnd)](call_end outcome) {
         m_calls.erase(id);
         if (onEnd)
-            onEnd(how);
+            onEnd(outcome);
     };
-    if (const auto kept = takeFree(to)) {
-        m_calls.emplace(id, kept);
-        // Posted, so that a call that fails at once reports it after `start` has returned.
-        m_loop.post([this, id, kept, alive = m_alive, call = std::move(call)]() mutable {
+    if (const auto reused = takeIdle(to)) {
+        m_calls.emplace(id, reused);
+        // Posted, so that a call that fails immediately is reported only after `start` has
+        // returned.
+        m_loop.post([this, id, reused, alive = m_alive, call = std::move(call)]() mutable {
             if (!*alive || !m_calls.contains(id)) {
-                kept->close();
+                reused->close();
                 return;
             }
-            if (kept->free())
-                kept->send(std::move(call));
+            if (reused->idle())
+                reused->send(std::move(call));
             else
                 call.onEnd(call_end::NotSent);
         });
         return id;
     }
-    const auto made = makeConnection(to);
-    m_calls.emplace(id, made);
-    made->open(to, ConnectTimeout, std::move(call));
+    const auto created = makeConnection(to);
+    m_calls.emplace(id, created);
+    created->open(to, ConnectTimeout, std::move(call));
     return id;
 }
 
@@ -80,51 +81,52 @@
         else if (m_loop.now() - since < ConnectTimeout)
             onOutcome(connect_outcome::Refused);
         else
-            onOutcome(connect_outcome::Silent);
+            onOutcome(connect_outcome::TimedOut);
     };
-    const auto made = makeConnection(to);
-    m_calls.emplace(id, made);
-    made->open(to, ConnectTimeout, std::move(nothing));
+    const auto created = makeConnection(to);
+    m_calls.emplace(id, created);
+    created->open(to, ConnectTimeout, std::move(nothing));
 }
 
 std::shared_ptr<outbound_connection> connection_pool::makeConnection(const socket_address &to)
 {
     ++m_opened;
     outbound_connection::owner_events owner;
-    owner.onFree = [this, to](const std::shared_ptr<outbound_connection> &connection) {
-        const auto keep = connection->keepAlive().value_or(DefaultKeep);
-        m_free[to].push_back({connection, m_loop.now() + keep - KeepMargin});
+    owner.onIdle = [this, to](const std::shared_ptr<outbound_connection> &connection) {
+        const auto keepFor = connection->keepAlive().value_or(DefaultKeepAlive);
+        m_idle[to].push_back({connection, m_loop.now() + keepFor - KeepAliveMargin});
     };
     owner.onClosed = [this, to, alive = m_alive](outbound_connection &closed) {
         if (*alive)
-            forget(to, closed);
+            removeIdle(to, closed);
     };
     return std::make_shared<outbound_connection>(m_loop, std::move(owner));
 }
 
-// The one that was used last: the others then run out, and their number follows the load.
-std::shared_ptr<outbound_connection> connection_pool::takeFree(const socket_address &to)
+// Returns the most recently used connection: surplus ones then expire, so the size of the pool
+// follows the load.
+std::shared_ptr<outbound_connection> connection_pool::takeIdle(const socket_address &to)
 {
-    const auto found = m_free.find(to);
-    if (found == m_free.end())
+    const auto found = m_idle.find(to);
+    if (found == m_idle.end())
         return nullptr;
     while (!found->second.empty()) {
         auto last = std::move(found->second.back());
         found->second.pop_back();
-        if (last.until > m_loop.now())
+        if (last.usableUntil > m_loop.now())
             return std::move(last.connection);
         last.connection->close();
     }
     return nullptr;
 }
 
-void connection_pool::forget(const socket_address &to, outbound_connection &closed)
+void connection_pool::removeIdle(const socket_address &to, outbound_connection &closed)
 {
-    const auto found = m_free.find(to);
-    if (found == m_free.end())
+    const auto found = m_idle.find(to);
+    if (found == m_idle.end())
         return;
     std::erase_if(found->second,
-                  [&](const free_connection &each) { return each.connection.get() == &closed; });
+                  [&](const idle_connection &each) { return each.connection.get() == &closed; });
 }
 
 void connection_pool::abandon(pool_call call)
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -16,51 +16,53 @@
 
 namespace orchidlead::http {
 
-/// Names a call of a pool, to give it up.
+/// Identifies a call of a pool.
 using pool_call = std::uint64_t;
 
-/// What became of a new connection.
+/// Result of opening a connection.
 enum class connect_outcome : std::uint8_t {
     Connected,
-    Refused, ///< nobody listens there, or the host says that it can't be reached
-    Silent, ///< nothing came back in time
+    Refused, ///< no listener, or host unreachable
+    TimedOut, ///< no answer within the connect timeout
 };
 
-/// Keeps connections to servers for use by one call after the other.
+/// Pool of connections to servers, each reused by successive calls.
 class connection_pool
 {
 public:
     explicit connection_pool(io_loop &loop);
-    /// Closes all its connections; nothing more is reported of its calls.
+    /// Closes all connections; reports no further events of its calls.
     ~connection_pool();
     connection_pool(const connection_pool &) = delete;
     connection_pool &operator=(const connection_pool &) = delete;
 
-    /// Makes a call on a free connection, or on a new one. No event is reported before it returns.
+    /// Starts a call on an idle connection, or on a new one. Reports no event before `start`
+    /// returns.
     pool_call start(const socket_address &to, outbound_call call);
-    /// Opens a connection, which is free for calls then. `onOutcome` is called once, later.
+    /// Opens a connection and keeps it for later calls. Calls `onOutcome` once, after `connect`
+    /// returns.
     void connect(const socket_address &to, std::function<void(connect_outcome)> onOutcome);
-    /// Closes the call's connection; none of its events is reported any more.
+    /// Closes the call's connection; reports no further events of the call.
     void abandon(pool_call call);
-    /// Stops or goes on reading a call's answer.
+    /// Pauses or resumes reading a call's answer.
     void setReading(pool_call call, bool reading);
 
-    /// Connections opened since the start.
+    /// Number of connections opened so far.
     [[nodiscard]] std::uint64_t opened() const { return m_opened; }
 
 private:
-    struct free_connection
+    struct idle_connection
     {
         std::shared_ptr<outbound_connection> connection;
-        steady_time until;
+        steady_time usableUntil;
     };
 
-    std::shared_ptr<outbound_connection> takeFree(const socket_address &to);
+    std::shared_ptr<outbound_connection> takeIdle(const socket_address &to);
     std::shared_ptr<outbound_connection> makeConnection(const socket_address &to);
-    void forget(const socket_address &to, outbound_connection &closed);
+    void removeIdle(const socket_address &to, outbound_connection &closed);
 
     io_loop &m_loop;
-    std::map<socket_address, std::vector<free_connection>> m_free;
+    std::map<socket_address, std::vector<idle_connection>> m_idle;
     std::unordered_map<pool_call, std::shared_ptr<outbound_connection>> m_calls;
     pool_call m_lastCall = 0;
     std::uint64_t m_opened = 0;
@@ -76,5 +78,5 @@
     orchidlead::enum_name<orchidlead::http::connect_outcome>{
         orchidlead::http::connect_outcome::Refused, "refused"},
     orchidlead::enum_name<orchidlead::http::connect_outcome>{
-        orchidlead::http::connect_outcome::Silent, "silent"},
+        orchidlead::http::connect_outcome::TimedOut, "silent"},
 };
--- a/src/http/datagram_socket.cpp
+++ b/src/http/datagram_socket.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Longer than any datagram that the membership sends.
+// Larger than any datagram of the membership protocol.
 constexpr std::size_t MaxDatagramBytes = 4096;
 
 } // namespace
@@ -43,8 +43,8 @@
         return std::nullopt;
     }
 
-    // An error here is one of an earlier datagram, such as a peer that isn't there: reading goes
-    // on.
+    // An error here belongs to a datagram sent earlier, for example to a peer that does not exist.
+    // Receiving continues.
     void receive()
     {
         m_socket.async_receive_from(
@@ -61,14 +61,14 @@
 
     void send(const socket_address &to, std::string_view bytes)
     {
-        error_code ignored; // a datagram that can't be sent is as good as lost
+        error_code ignored; // treated like a lost datagram
         const udp::endpoint endpoint(asio::ip::make_address(to.ip, ignored), to.port);
         m_socket.send_to(asio::buffer(bytes.data(), bytes.size()), endpoint, 0, ignored);
     }
 
     void close()
     {
-        error_code ignored; // released whatever the kernel answers
+        error_code ignored; // the descriptor is released even on an error
         m_socket.close(ignored);
     }
 
@@ -79,8 +79,8 @@
     std::array<char, MaxDatagramBytes> m_buffer{};
 };
 
-datagram_socket::datagram_socket(std::shared_ptr<implementation> made)
-    : m_implementation(std::move(made))
+datagram_socket::datagram_socket(std::shared_ptr<implementation> created)
+    : m_implementation(std::move(created))
 { }
 
 datagram_socket::~datagram_socket()
@@ -91,11 +91,11 @@
 result<std::unique_ptr<datagram_socket>, datagram_error>
 datagram_socket::create(io_loop &loop, const socket_address &at, receiver onDatagram)
 {
-    auto made = std::make_shared<implementation>(loop, std::move(onDatagram));
-    if (auto error = made->open(at))
+    auto created = std::make_shared<implementation>(loop, std::move(onDatagram));
+    if (auto error = created->open(at))
         return std::move(*error);
-    made->receive();
-    return std::unique_ptr<datagram_socket>(new datagram_socket(std::move(made)));
+    created->receive();
+    return std::unique_ptr<datagram_socket>(new datagram_socket(std::move(created)));
 }
 
 void datagram_socket::send(const socket_address &to, std::string_view bytes)
--- a/src/http/datagram_socket.h
+++ b/src/http/datagram_socket.h
@@ -12,7 +12,7 @@
 
 namespace orchidlead::http {
 
-/// Says what the operating system refused.
+/// Operating system error on opening the socket.
 struct datagram_error
 {
     std::string what;
@@ -30,12 +30,12 @@
     datagram_socket(const datagram_socket &) = delete;
     datagram_socket &operator=(const datagram_socket &) = delete;
 
-    /// Sends at once or drops: datagrams may be lost anyway.
+    /// Sends immediately or drops the datagram. Datagrams may be lost in any case.
     void send(const socket_address &to, std::string_view bytes);
 
 private:
     class implementation;
-    explicit datagram_socket(std::shared_ptr<implementation> made);
+    explicit datagram_socket(std::shared_ptr<implementation> created);
     std::shared_ptr<implementation> m_implementation;
 };
 
--- a/src/http/head.cpp
+++ b/src/http/head.cpp
@@ -32,7 +32,7 @@
     return text.substr(begin, text.find_last_not_of(Blank) - begin + 1);
 }
 
-/// Lists the names that the `Connection` fields hold.
+/// Returns the field names listed in the `Connection` fields.
 std::vector<std::string_view> connectionOptions(const field_list &fields)
 {
     std::vector<std::string_view> names;
@@ -81,15 +81,15 @@
 field_list forwardedFields(const field_list &fields)
 {
     const auto named = connectionOptions(fields);
-    field_list kept;
-    kept.reserve(fields.size() + 4);
+    field_list forwarded;
+    forwarded.reserve(fields.size() + 4);
     for (const auto &each : fields) {
         const bool isNamed = std::ranges::any_of(
             named, [&](std::string_view name) { return equalsIgnoringCase(name, each.name); });
         if (!isNamed && !isConnectionField(each.name))
-            kept.push_back(each);
+            forwarded.push_back(each);
     }
-    return kept;
+    return forwarded;
 }
 
 std::string_view statusText(int status)
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -8,7 +8,7 @@
 
 namespace orchidlead::http {
 
-/// One header field, spelled as it was received.
+/// Header field with its spelling as received.
 struct field
 {
     std::string name;
@@ -17,47 +17,46 @@
 
 using field_list = std::vector<field>;
 
-/// Compares without regard to the case of ASCII letters.
+/// Compares ASCII letters without regard to case.
 [[nodiscard]] bool equalsIgnoringCase(std::string_view a, std::string_view b);
 
-/// Finds the first field of that name, in any case.
+/// Returns the value of the first field with this name, ignoring case.
 [[nodiscard]] std::optional<std::string_view> findField(const field_list &fields,
                                                         std::string_view name);
 
-/// The line and fields that a request begins with.
+/// Request line and header fields.
 struct request_head
 {
     std::string method;
     std::string target; ///< path and query, as received
     field_list fields;
     bool http10 = false;
-    bool keepAlive = true; ///< the client wants to go on using the connection
+    bool keepAlive = true; ///< the client will reuse the connection
 };
 
-/// The line and fields that an answer begins with.
+/// Status line and header fields of an answer.
 struct response_head
 {
     int status = 0;
     std::string reason;
     field_list fields;
     bool keepAlive = true;
-    std::optional<std::size_t> length; ///< of the body, where the head declares it
+    std::optional<std::size_t> length; ///< of the body, if declared
     bool chunked = false;
 };
 
-/// Whether a field concerns one connection only and isn't passed on. Fields that `Connection` names
-/// are such, too: see `forwardedFields`.
+/// Whether a field is hop-by-hop, so that a proxy doesn't forward it. Fields listed in `Connection`
+/// are also hop-by-hop: see `forwardedFields`.
 [[nodiscard]] bool isConnectionField(std::string_view name);
 
-/// Copies the fields that a proxy passes on.
+/// Returns the fields that a proxy forwards.
 [[nodiscard]] field_list forwardedFields(const field_list &fields);
 
-/// The usual text of a status, such as "Not Found".
+/// Standard reason phrase of a status, such as "Not Found".
 [[nodiscard]] std::string_view statusText(int status);
 
-/// Writes a request's head, the empty line included.
+/// Serializes a head, including the empty line at its end.
 [[nodiscard]] std::string formatHead(const request_head &head);
-/// Writes an answer's head, the empty line included.
 [[nodiscard]] std::string formatHead(const response_head &head);
 
 } // namespace orchidlead::http
--- a/src/http/inbound_connection.cpp
+++ b/src/http/inbound_connection.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// How long a connection whose last answer is out is read on, so that the client gets that answer
-// and not a reset. Clients read an answer within a round trip.
+// How long a connection is still read after its last answer was sent, so that the client receives
+// the answer instead of a reset. Clients read an answer within a round trip.
 constexpr milliseconds LingerTime{1000};
-// Most bytes that a client may send ahead of the answer to its request.
-constexpr std::size_t MaxAheadBytes = 256U << 10U;
+// Reading pauses when a client has sent more than this before the answer to its request.
+constexpr std::size_t MaxPipelinedBytes = 256U << 10U;
 
 std::string toHex(std::size_t number)
 {
@@ -54,17 +54,17 @@
 void inbound_connection::start()
 {
     m_self = shared_from_this();
-    expectRequest();
+    waitForRequest();
     m_socket->start(*this);
 }
 
-void inbound_connection::expectRequest()
+void inbound_connection::waitForRequest()
 {
     m_phase = phase::Reading;
     m_idleSince = m_loop.now();
-    m_complete = false;
-    m_begun = false;
-    m_tooMuchBuffered = false;
+    m_requestComplete = false;
+    m_answerStarted = false;
+    m_bufferLimitExceeded = false;
     m_head = {};
     request_sink &sink = *this;
     m_reader.emplace(sink, m_shared->limits.maxHeadBytes, m_shared->limits.maxBodyBytes);
@@ -76,18 +76,18 @@
     const auto self = shared_from_this();
     switch (m_phase) {
     case phase::Reading:
-        if (m_kept.empty() && !m_reader->headDone())
+        if (m_unparsed.empty() && !m_reader->headDone())
             setTimer(m_shared->limits.headTimeout);
-        if (m_kept.empty()) {
+        if (m_unparsed.empty()) {
             parse(bytes);
         } else {
-            m_kept.append(bytes);
-            parseKept();
+            m_unparsed.append(bytes);
+            parseUnparsed();
         }
         break;
     case phase::Answering:
-        m_kept.append(bytes);
-        if (m_kept.size() > MaxAheadBytes)
+        m_unparsed.append(bytes);
+        if (m_unparsed.size() > MaxPipelinedBytes)
             m_socket->setReading(false);
         break;
     case phase::Lingering:
@@ -96,18 +96,18 @@
     }
 }
 
-void inbound_connection::parseKept()
+void inbound_connection::parseUnparsed()
 {
-    const std::string bytes = std::exchange(m_kept, {});
+    const std::string bytes = std::exchange(m_unparsed, {});
     parse(bytes);
 }
 
-// A handler may answer at once, and then the next request is parsed after this one: the loop here
-// goes on in place of a recursion.
+// A handler may answer synchronously, after which the next pipelined request is parsed. Nested
+// calls only queue their bytes and leave the parsing to the outer call.
 void inbound_connection::parse(std::string_view bytes)
 {
-    if (std::exchange(m_insideParse, true)) {
-        m_kept.append(bytes);
+    if (std::exchange(m_parsing, true)) {
+        m_unparsed.append(bytes);
         return;
     }
     while (m_phase == phase::Reading && !bytes.empty()) {
@@ -118,34 +118,34 @@
             refuse(statusOf(*progress.error));
             break;
         }
-        if (m_tooMuchBuffered) {
+        if (m_bufferLimitExceeded) {
             refuse(503);
             break;
         }
-        if (!m_complete) {
+        if (!m_requestComplete) {
             if (m_reader->headDone())
                 setTimer(m_shared->limits.idleTimeout);
             if (hadHead || !m_reader->headDone())
                 break;
-            inviteBody();
+            sendContinue();
             continue;
         }
-        m_kept.assign(bytes);
+        m_unparsed.assign(bytes);
         dispatch();
         if (m_phase != phase::Reading)
             break;
-        const std::string rest = std::exchange(m_kept, {});
-        m_insideParse = false;
+        const std::string rest = std::exchange(m_unparsed, {});
+        m_parsing = false;
         parse(rest);
         return;
     }
     if (m_phase == phase::Reading)
-        m_kept.assign(bytes);
-    m_insideParse = false;
+        m_unparsed.assign(bytes);
+    m_parsing = false;
 }
 
-// The client may wait for this before it sends the body.
-void inbound_connection::inviteBody()
+// A client with `Expect: 100-continue` may wait for this before it sends the body.
+void inbound_connection::sendContinue()
 {
     const auto expects = findField(m_head.fields, "expect");
     if (expects && equalsIgnoringCase(*expects, "100-continue"))
@@ -155,17 +155,17 @@
 void inbound_connection::onBody(std::string_view bytes)
 {
     const std::size_t buffered = m_shared->bufferedBytes + bytes.size();
-    m_tooMuchBuffered = m_tooMuchBuffered || buffered > m_shared->limits.maxBufferedBytes;
-    if (m_tooMuchBuffered)
+    m_bufferLimitExceeded = m_bufferLimitExceeded || buffered > m_shared->limits.maxBufferedBytes;
+    if (m_bufferLimitExceeded)
         return;
     m_shared->bufferedBytes = buffered;
-    m_countedBody += bytes.size();
+    m_countedBodyBytes += bytes.size();
     m_body.append(bytes);
 }
 
 void inbound_connection::releaseBody()
 {
-    m_shared->bufferedBytes -= std::exchange(m_countedBody, 0);
+    m_shared->bufferedBytes -= std::exchange(m_countedBodyBytes, 0);
     m_body = {};
 }
 
@@ -174,9 +174,9 @@
     m_phase = phase::Answering;
     ++m_shared->answering;
     m_loop.cancelTimer(std::exchange(m_timer, 0));
-    m_toHead = m_head.method == "HEAD";
+    m_isHeadRequest = m_head.method == "HEAD";
     m_http10 = m_head.http10;
-    m_closeAfter = !m_head.keepAlive;
+    m_closeAfterAnswer = !m_head.keepAlive;
     m_shared->onRequest(shared_from_this(), std::move(m_head), std::move(m_body));
 }
 
@@ -184,8 +184,8 @@
 {
     m_phase = phase::Answering;
     ++m_shared->answering;
-    m_closeAfter = true;
-    m_kept.clear();
+    m_closeAfterAnswer = true;
+    m_unparsed.clear();
     respond(status, {}, {});
 }
 
@@ -194,20 +194,20 @@
     response_head out = head;
     if (out.reason.empty())
         out.reason = statusText(out.status);
-    m_closeAfter = m_closeAfter || m_shared->closing;
+    m_closeAfterAnswer = m_closeAfterAnswer || m_shared->closing;
     if (!out.length && m_http10)
-        m_closeAfter = true;
+        m_closeAfterAnswer = true;
     m_noBody = out.status == 204 || out.status == 304;
     m_chunked = !out.length && !m_http10 && !m_noBody;
     if (out.length && out.status != 204)
         out.fields.push_back({"Content-Length", std::to_string(*out.length)});
     else if (m_chunked)
         out.fields.push_back({"Transfer-Encoding", "chunked"});
-    if (m_closeAfter)
+    if (m_closeAfterAnswer)
         out.fields.push_back({"Connection", "close"});
     else if (m_http10)
         out.fields.push_back({"Connection", "keep-alive"});
-    m_begun = true;
+    m_answerStarted = true;
     m_socket->write(formatHead(out));
 }
 
@@ -220,7 +220,7 @@
     head.fields = fields;
     head.length = body.size();
     writeHead(head);
-    if (!m_toHead && !m_noBody && !body.empty())
+    if (!m_isHeadRequest && !m_noBody && !body.empty())
         m_socket->write(body);
     endAnswer();
 }
@@ -233,7 +233,7 @@
 
 void inbound_connection::write(std::string_view bytes)
 {
-    if (!open() || bytes.empty() || m_toHead || m_noBody)
+    if (!open() || bytes.empty() || m_isHeadRequest || m_noBody)
         return;
     if (!m_chunked) {
         m_socket->write(bytes);
@@ -249,7 +249,7 @@
 {
     if (!open() || m_phase != phase::Answering)
         return;
-    if (m_chunked && !m_toHead)
+    if (m_chunked && !m_isHeadRequest)
         m_socket->write("0\r\n\r\n");
     endAnswer();
 }
@@ -257,22 +257,23 @@
 void inbound_connection::endAnswer()
 {
     const auto self = shared_from_this();
-    m_onGone = {};
-    m_drained = {};
+    m_onClientGone = {};
+    m_onDrained = {};
     releaseBody();
     --m_shared->answering;
-    if (m_closeAfter) {
+    if (m_closeAfterAnswer) {
         linger();
         return;
     }
-    expectRequest();
+    waitForRequest();
     m_socket->setReading(true);
-    if (m_insideParse || m_kept.empty())
+    if (m_parsing || m_unparsed.empty())
         return;
-    // After the caller has returned: it may still use its exchange with this connection.
+    // Deferred until the caller has returned, since it may still use its exchange with this
+    // connection.
     m_loop.post([self] {
-        if (self->m_phase == phase::Reading && !self->m_kept.empty())
-            self->parseKept();
+        if (self->m_phase == phase::Reading && !self->m_unparsed.empty())
+            self->parseUnparsed();
     });
 }
 
@@ -283,11 +284,11 @@
     close();
 }
 
-// Closing while the client still sends would reset the connection, and the answer with it.
+// Closing while the client still sends would reset the connection and lose the answer.
 void inbound_connection::linger()
 {
     m_phase = phase::Lingering;
-    m_kept = {};
+    m_unparsed = {};
     m_socket->finishWriting();
     m_socket->setReading(true);
     setTimer(LingerTime);
@@ -297,36 +298,36 @@
 {
     m_phase = phase::Closed;
     m_loop.cancelTimer(std::exchange(m_timer, 0));
-    m_onGone = {};
-    m_drained = {};
+    m_onClientGone = {};
+    m_onDrained = {};
     if (const auto socket = std::exchange(m_socket, nullptr))
         socket->close();
     const auto last = std::exchange(m_self, nullptr);
 }
 
-void inbound_connection::closeIfIdle(milliseconds atLeast)
+void inbound_connection::closeIfIdle(milliseconds minIdleTime)
 {
-    if (m_loop.now() - m_idleSince < atLeast)
+    if (m_loop.now() - m_idleSince < minIdleTime)
         return;
-    if (m_phase == phase::Reading && m_kept.empty() && !m_reader->headDone())
+    if (m_phase == phase::Reading && m_unparsed.empty() && !m_reader->headDone())
         close();
 }
 
-void inbound_connection::onEnd(bool /*inOrder*/)
+void inbound_connection::onEnd(bool /*orderly*/)
 {
     const auto self = shared_from_this();
-    const auto gone = std::exchange(m_onGone, {});
+    const auto clientGoneHandler = std::exchange(m_onClientGone, {});
     if (m_phase == phase::Answering)
         --m_shared->answering;
     close();
-    if (gone)
-        gone();
+    if (clientGoneHandler)
+        clientGoneHandler();
 }
 
 void inbound_connection::onDrained()
 {
-    if (const auto drained = m_drained)
-        drained();
+    if (const auto drainedHandler = m_onDrained)
+        drainedHandler();
 }
 
 std::size_t inbound_connection::queuedBytes() const
@@ -346,8 +347,9 @@
 void inbound_connection::onTimer()
 {
     m_timer = 0;
-    const bool amidRequest = m_phase == phase::Reading && (!m_kept.empty() || m_reader->headDone());
-    if (amidRequest)
+    const bool requestStarted =
+        m_phase == phase::Reading && (!m_unparsed.empty() || m_reader->headDone());
+    if (requestStarted)
         refuse(408);
     else
         close();
--- a/src/http/io_loop.cpp
+++ b/src/http/io_loop.cpp
@@ -15,17 +15,17 @@
 
 namespace {
 
-// A task that sets its own timer anew without a delay mustn't run again in the same turn: sockets
-// would never be served where the clock stands still meanwhile.
-constexpr std::chrono::microseconds LeastDelay{1};
-// The kernel's timer is this late only where the machine was suspended: it stood still meanwhile,
-// and is set anew. A loop that is merely busy is late by less.
-constexpr milliseconds MostOverdue{1000};
+// A task that rearms its own timer with a zero delay must not run again in the same pass.
+// Otherwise, sockets are never served on a simulated clock that stands still while tasks run.
+constexpr std::chrono::microseconds MinDelay{1};
+// The kernel timer is later than this only after a suspension of the machine, during which it does
+// not advance; it is then rearmed. A busy loop delays it by less.
+constexpr milliseconds MaxTimerLateness{1000};
 
 } // namespace
 
-// All timers share one of the kernel's, which is set again only for an earlier time: most timers
-// are cancelled before they run, and each setting is a call into the kernel.
+// All timers share one kernel timer, which is rearmed only for an earlier time: most timers are
+// cancelled before they expire, and each rearming is a system call.
 class io_loop::implementation
 {
 public:
@@ -37,57 +37,58 @@
 
     timer_id add(std::chrono::microseconds delay, std::function<void()> task)
     {
-        const auto due = m_clock.now() + std::max(delay, LeastDelay);
+        const auto due = m_clock.now() + std::max(delay, MinDelay);
         const auto id = m_heap.add(due, std::move(task));
-        arm();
+        armTimer();
         return id;
     }
     void cancel(timer_id timer) { m_heap.cancel(timer); }
 
-    void watch(int number, std::function<void()> handler)
+    void addSignalHandler(int signalNumber, std::function<void()> handler)
     {
-        m_signals.push_back(std::make_unique<asio::signal_set>(m_context, number));
-        wait(*m_signals.back(), std::move(handler));
+        m_signals.push_back(std::make_unique<asio::signal_set>(m_context, signalNumber));
+        waitForSignal(*m_signals.back(), std::move(handler));
     }
 
     asio::io_context &context() { return m_context; }
 
 private:
-    void arm()
+    void armTimer()
     {
         const auto next = m_heap.next();
         const auto now = m_clock.now();
-        const bool overdue = m_armed && *m_armed + MostOverdue < now;
-        if (!next || m_firing || (m_armed && *m_armed <= *next && !overdue))
+        const bool overdue = m_armedFor && *m_armedFor + MaxTimerLateness < now;
+        if (!next || m_runningTasks || (m_armedFor && *m_armedFor <= *next && !overdue))
             return;
-        m_armed = next;
-        // From now: the timer's own clock may be behind the loop's, which counts suspensions.
+        m_armedFor = next;
+        // Relative to now: the timer's own clock may be behind the loop's clock, which includes
+        // suspensions.
         m_timer.expires_after(std::max(*next - now, steady_time::duration::zero()));
         m_timer.async_wait([this](const boost::system::error_code &error) {
             if (!error)
-                fire();
+                runDueTasks();
         });
     }
 
-    void fire()
+    void runDueTasks()
     {
-        m_armed.reset();
-        m_firing = true;
+        m_armedFor.reset();
+        m_runningTasks = true;
         const auto now = m_clock.now();
         while (auto task = m_heap.takeDue(now))
             task();
-        m_firing = false;
-        arm();
+        m_runningTasks = false;
+        armTimer();
     }
 
-    static void wait(asio::signal_set &signals, std::function<void()> handler)
+    static void waitForSignal(asio::signal_set &signals, std::function<void()> handler)
     {
         signals.async_wait([&signals, handler = std::move(handler)](
                                const boost::system::error_code &error, int /*number*/) {
             if (error)
                 return;
             handler();
-            wait(signals, handler);
+            waitForSignal(signals, handler);
         });
     }
 
@@ -95,8 +96,8 @@
     asio::io_context m_context;
     asio::steady_timer m_timer;
     net::timer_heap m_heap;
-    std::optional<steady_time> m_armed;
-    bool m_firing = false;
+    std::optional<steady_time> m_armedFor;
+    bool m_runningTasks = false;
     std::vector<std::unique_ptr<asio::signal_set>> m_signals;
 };
 
@@ -133,9 +134,9 @@
     m_implementation->cancel(timer);
 }
 
-void io_loop::onSignal(int number, std::function<void()> handler)
+void io_loop::onSignal(int signalNumber, std::function<void()> handler)
 {
-    m_implementation->watch(number, std::move(handler));
+    m_implementation->addSignalHandler(signalNumber, std::move(handler));
 }
 
 asio::io_context &io_loop::context()
--- a/src/http/io_loop.h
+++ b/src/http/io_loop.h
@@ -16,7 +16,7 @@
 
 using net::timer_id;
 
-/// Runs sockets and timers on the calling thread.
+/// Event loop for sockets, timers and signals, on the thread that calls `run`.
 class io_loop
 {
 public:
@@ -25,19 +25,19 @@
     io_loop(const io_loop &) = delete;
     io_loop &operator=(const io_loop &) = delete;
 
-    /// Serves events until `stop`.
+    /// Handles events until `stop` is called.
     void run();
-    /// Ends `run`; called on the loop's thread.
+    /// Ends `run`. Must be called on the loop's thread.
     void stop();
 
-    /// Runs `task` on the loop soon, after the event that is being handled.
+    /// Runs `task` on the loop, after the current event.
     void post(std::function<void()> task);
     /// Runs `task` once after `delay`.
     timer_id callAfter(std::chrono::microseconds delay, std::function<void()> task);
-    /// Does nothing when the timer has already run.
+    /// Has no effect if the timer has already expired.
     void cancelTimer(timer_id timer);
-    /// Calls `handler` for each signal of that number, on the loop.
-    void onSignal(int number, std::function<void()> handler);
+    /// Calls `handler` on the loop at each signal with this number.
+    void onSignal(int signalNumber, std::function<void()> handler);
 
     [[nodiscard]] steady_time now() const { return m_clock.now(); }
     [[nodiscard]] const clock_source &clock() const { return m_clock; }
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -12,28 +12,28 @@
 class listener
 {
 public:
-    /// `shared` holds the limits and the handler; it may be changed while the listener runs.
+    /// `shared` holds the limits and the handler; both may be changed while the listener runs.
     [[nodiscard]] static result<std::unique_ptr<listener>, listen_error>
     create(io_loop &loop, const socket_address &at, std::shared_ptr<inbound_shared> shared);
 
-    /// Closes all its connections; nothing more is reported of them.
+    /// Closes all connections; reports no further events of them.
     ~listener();
     listener(const listener &) = delete;
     listener &operator=(const listener &) = delete;
 
     [[nodiscard]] std::uint16_t port() const { return m_acceptor->port(); }
-    /// Closes the connections that have had no request for so long.
-    void closeIdle(milliseconds atLeast);
+    /// Closes the connections that have been idle for at least this long.
+    void closeIdle(milliseconds minIdleTime);
 
 private:
     listener(io_loop &loop, std::shared_ptr<inbound_shared> shared);
-    void take(std::shared_ptr<stream_socket> socket);
+    void addConnection(std::shared_ptr<stream_socket> socket);
 
     io_loop &m_loop;
     std::shared_ptr<inbound_shared> m_shared;
     std::unique_ptr<acceptor> m_acceptor;
     std::vector<std::weak_ptr<inbound_connection>> m_connections;
-    std::size_t m_sweepAt;
+    std::size_t m_nextSweepSize;
 };
 
 } // namespace orchidlead::http
--- a/src/http/message_reader.cpp
+++ b/src/http/message_reader.cpp
@@ -14,9 +14,9 @@
 namespace beast = boost::beast;
 using boost::system::error_code;
 
-// Longest head of a server's answer; no server of ours sends a tenth of it.
+// Limit for the head of a server's answer. Backend servers send less than a tenth of it.
 constexpr std::uint32_t MaxResponseHeadBytes = 64U << 10U;
-constexpr int InterimStatusEnd = 200;
+constexpr int FirstFinalStatus = 200;
 
 std::string toString(beast::string_view text)
 {
@@ -32,32 +32,34 @@
     return read_error::Malformed;
 }
 
-/// Notes the framing fields of a head, so that ambiguous ones can be refused.
+/// Collects the framing fields of a head, so that ambiguous framing can be rejected.
 struct framing_check
 {
     int lengths = 0;
-    int codings = 0;
-    bool foreignCoding = false;
-    bool foreignLength = false; ///< a list, which Beast takes where all its numbers agree
+    int transferCodings = 0;
+    bool unsupportedCoding = false;
+    /// For example a list of lengths, which Beast accepts if all its numbers are equal.
+    bool invalidLength = false;
 
-    void take(beast::http::field name, beast::string_view value)
+    void add(beast::http::field name, beast::string_view value)
     {
         if (name == beast::http::field::content_length) {
             ++lengths;
-            foreignLength = value.find_first_not_of("0123456789") != beast::string_view::npos;
+            invalidLength = value.find_first_not_of("0123456789") != beast::string_view::npos;
         }
         if (name != beast::http::field::transfer_encoding)
             return;
-        ++codings;
-        foreignCoding = foreignCoding || !beast::iequals(value, "chunked");
+        ++transferCodings;
+        unsupportedCoding = unsupportedCoding || !beast::iequals(value, "chunked");
     }
     [[nodiscard]] bool ambiguous() const
     {
-        return lengths + codings > 1 || foreignCoding || foreignLength;
+        return lengths + transferCodings > 1 || unsupportedCoding || invalidLength;
     }
 };
 
-/// Joins Beast's parser to a sink. `put` is called until it asks for more or the message ends.
+/// Passes the events of Beast's parser to a sink. In eager mode, `put` parses until it needs more
+/// bytes or the message is complete.
 template <bool IsRequest, class Head>
 class sink_parser : public beast::http::basic_parser<IsRequest>
 {
@@ -79,14 +81,14 @@
     }
 
 protected:
-    // NOLINTBEGIN(readability-identifier-naming): the names are the library's
+    // NOLINTBEGIN(readability-identifier-naming): names of the overridden functions
     void on_field_impl(beast::http::field name, beast::string_view text, beast::string_view value,
                        error_code & /*error*/) override
     {
-        // Fields behind the body's last chunk aren't passed on.
+        // Trailer fields after a chunked body are dropped.
         if (this->is_header_done())
             return;
-        framing.take(name, value);
+        framing.add(name, value);
         head.fields.push_back({toString(text), toString(value)});
     }
     void on_header_impl(error_code &error) override
@@ -138,7 +140,7 @@
     using sink_parser::sink_parser;
 
 private:
-    // NOLINTBEGIN(readability-identifier-naming): the names are the library's
+    // NOLINTBEGIN(readability-identifier-naming): names of the overridden functions
     void on_request_impl(beast::http::verb /*verb*/, beast::string_view method,
                          beast::string_view target, int version, error_code & /*error*/) override
     {
@@ -194,7 +196,7 @@
     [[nodiscard]] bool interim() const { return m_interim; }
 
 private:
-    // NOLINTBEGIN(readability-identifier-naming): the names are the library's
+    // NOLINTBEGIN(readability-identifier-naming): names of the overridden functions
     void on_request_impl(beast::http::verb /*verb*/, beast::string_view /*method*/,
                          beast::string_view /*target*/, int /*version*/,
                          error_code & /*error*/) override
@@ -204,7 +206,7 @@
     {
         head.status = status;
         head.reason = toString(reason);
-        m_interim = status < InterimStatusEnd;
+        m_interim = status < FirstFinalStatus;
     }
     // NOLINTEND(readability-identifier-naming)
     void finishHead() override
@@ -254,7 +256,7 @@
     return total;
 }
 
-bool response_reader::finishAtEnd()
+bool response_reader::finishAtEndOfStream()
 {
     if (!m_parser->got_some() || !m_parser->is_header_done())
         return false;
--- a/src/http/message_reader.h
+++ b/src/http/message_reader.h
@@ -13,14 +13,14 @@
 
 namespace orchidlead::http {
 
-/// Why bytes can't be read as a message.
+/// Why a message was rejected.
 enum class read_error {
     Malformed,
     HeadTooLarge,
     BodyTooLarge,
 };
 
-/// Takes the parts of one message as they are read. The reader must outlive each of the calls.
+/// Receives the parts of one message from a reader. The reader must not be destroyed during a call.
 template <class Head>
 class message_sink
 {
@@ -28,28 +28,30 @@
     virtual ~message_sink() = default;
     virtual void onHead(Head head) = 0;
     virtual void onBody(std::string_view bytes) = 0;
-    virtual void onComplete() = 0; ///< the message is whole
+    virtual void onComplete() = 0;
 };
 
 using request_sink = message_sink<request_head>;
 using response_sink = message_sink<response_head>;
 
-/// What reading some bytes came to.
+/// Result of reading some bytes.
 struct read_progress
 {
-    std::size_t used = 0; ///< of the bytes given; the rest must be given again, with more
+    /// Number of bytes consumed. The caller passes the others again, followed by new ones.
+    std::size_t used = 0;
     std::optional<read_error> error;
 };
 
-/// Reads one request. Strict where leniency would let two programs see different messages:
-/// doubled or conflicting lengths, other codings than `chunked` and bare line feeds are refused.
+/// Parses one request. Rejects repeated or conflicting lengths, transfer codings other than
+/// `chunked`, and bare line feeds: with lenient parsing, two programs could see different messages
+/// (request smuggling).
 class request_reader
 {
 public:
     request_reader(request_sink &sink, std::size_t maxHeadBytes, std::size_t maxBodyBytes);
     ~request_reader();
 
-    /// Takes bytes up to the end of the message.
+    /// Consumes bytes up to the end of the message.
     [[nodiscard]] read_progress read(std::string_view bytes);
     [[nodiscard]] bool headDone() const;
     [[nodiscard]] bool done() const;
@@ -60,7 +62,7 @@
     std::unique_ptr<parser> m_parser;
 };
 
-/// Reads one answer, interim ones (1xx) skipped.
+/// Parses one answer; skips interim answers (1xx).
 class response_reader
 {
 public:
@@ -68,8 +70,9 @@
     ~response_reader();
 
     [[nodiscard]] read_progress read(std::string_view bytes);
-    /// Tells that the connection has ended in order; false where the answer isn't whole.
-    [[nodiscard]] bool finishAtEnd();
+    /// To be called when the server has closed the connection in an orderly way. Returns false if
+    /// the answer is incomplete.
+    [[nodiscard]] bool finishAtEndOfStream();
     [[nodiscard]] bool headDone() const;
     [[nodiscard]] bool done() const;
 
--- a/src/http/outbound_connection.cpp
+++ b/src/http/outbound_connection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Reads the `timeout` of a `Keep-Alive` field, in whole seconds.
+/// Parses the `timeout` parameter of a `Keep-Alive` field, which is in whole seconds.
 std::optional<milliseconds> readKeepAlive(const field_list &fields)
 {
     constexpr std::string_view Key = "timeout=";
@@ -55,7 +55,7 @@
     transmit();
 }
 
-void outbound_connection::expectAnswer()
+void outbound_connection::createReader()
 {
     response_sink &sink = *this;
     m_reader = std::make_unique<response_reader>(sink, m_call->toHead);
@@ -65,32 +65,32 @@
 {
     const auto self = shared_from_this();
     m_sent = false;
-    m_skipping = false;
-    m_kept.clear();
-    expectAnswer();
+    m_skippingAnswer = false;
+    m_unparsed.clear();
+    createReader();
     auto bytes = m_call->writeHead();
     if (!bytes) {
-        end(call_end::NotSent, true);
+        endCall(call_end::NotSent, true);
         return;
     }
     bytes->append(m_call->body);
     m_call->body = {};
     m_sent = m_socket->write(*bytes);
     if (!m_sent)
-        end(call_end::NotSent, false);
+        endCall(call_end::NotSent, false);
 }
 
 void outbound_connection::onBytes(std::string_view bytes)
 {
     const auto self = shared_from_this();
     if (!m_call) {
-        // Nothing was asked: what comes belongs to no call.
-        shut();
+        // Unsolicited bytes: no call is in progress.
+        tearDown();
         return;
     }
     std::string joined;
-    if (!m_kept.empty()) {
-        joined = std::exchange(m_kept, {});
+    if (!m_unparsed.empty()) {
+        joined = std::exchange(m_unparsed, {});
         joined.append(bytes);
         bytes = joined;
     }
@@ -98,25 +98,25 @@
     if (!m_call || !m_socket)
         return;
     if (progress.error) {
-        end(call_end::Broken, false);
+        endCall(call_end::Broken, false);
         return;
     }
     bytes.remove_prefix(progress.used);
     if (m_reader->done())
-        onAnswerRead(bytes);
+        onAnswerComplete(bytes);
     else
-        m_kept.assign(bytes);
+        m_unparsed.assign(bytes);
 }
 
-void outbound_connection::onAnswerRead(std::string_view rest)
+void outbound_connection::onAnswerComplete(std::string_view rest)
 {
-    if (!m_skipping) {
+    if (!m_skippingAnswer) {
         const bool bodySent = m_socket->queuedBytes() == 0;
-        end(call_end::Complete, m_mayKeep && bodySent && rest.empty());
+        endCall(call_end::Complete, m_reusable && bodySent && rest.empty());
         return;
     }
-    m_skipping = false;
-    expectAnswer();
+    m_skippingAnswer = false;
+    createReader();
     if (!rest.empty())
         onBytes(std::string(rest));
 }
@@ -125,56 +125,56 @@
 {
     if (!m_call)
         return;
-    m_mayKeep = m_mayKeep && head.keepAlive;
+    m_reusable = m_reusable && head.keepAlive;
     m_keepAlive = readKeepAlive(head.fields);
-    m_skipping = m_call->isMine && !m_call->isMine(head);
-    if (m_skipping)
-        m_mayKeep = false;
+    m_skippingAnswer = m_call->isMine && !m_call->isMine(head);
+    if (m_skippingAnswer)
+        m_reusable = false;
     else if (const auto onHeadEvent = m_call->onHead)
         onHeadEvent(head);
 }
 
 void outbound_connection::onBody(std::string_view bytes)
 {
-    if (!m_call || m_skipping)
+    if (!m_call || m_skippingAnswer)
         return;
     if (const auto onBodyEvent = m_call->onBody)
         onBodyEvent(bytes);
 }
 
-void outbound_connection::onEnd(bool inOrder)
+void outbound_connection::onEnd(bool orderly)
 {
     const auto self = shared_from_this();
     if (!m_call) {
-        shut();
+        tearDown();
         return;
     }
-    const bool whole =
-        m_sent && inOrder && !m_skipping && m_kept.empty() && m_reader->finishAtEnd();
+    const bool whole = m_sent && orderly && !m_skippingAnswer && m_unparsed.empty()
+        && m_reader->finishAtEndOfStream();
     if (!m_call)
         return;
     if (whole)
-        end(call_end::Complete, false);
+        endCall(call_end::Complete, false);
     else
-        end(m_sent ? call_end::Broken : call_end::NotSent, false);
+        endCall(m_sent ? call_end::Broken : call_end::NotSent, false);
 }
 
-void outbound_connection::end(call_end how, bool keep)
+void outbound_connection::endCall(call_end outcome, bool reuse)
 {
     const auto self = shared_from_this();
     const auto call = std::exchange(m_call, std::nullopt);
-    if (!keep)
-        shut();
-    else if (m_owner.onFree)
-        m_owner.onFree(self);
+    if (!reuse)
+        tearDown();
+    else if (m_owner.onIdle)
+        m_owner.onIdle(self);
     if (call && call->onEnd)
-        call->onEnd(how);
+        call->onEnd(outcome);
 }
 
 void outbound_connection::abandon()
 {
     m_call.reset();
-    shut();
+    tearDown();
 }
 
 void outbound_connection::setReading(bool reading)
@@ -185,10 +185,10 @@
 
 void outbound_connection::close()
 {
-    shut();
+    tearDown();
 }
 
-void outbound_connection::shut()
+void outbound_connection::tearDown()
 {
     const auto self = std::exchange(m_self, nullptr);
     m_loop.cancelTimer(std::exchange(m_connectTimer, 0));
--- a/src/http/stream_socket.cpp
+++ b/src/http/stream_socket.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-// How long sent bytes may stay unacknowledged before the kernel gives the connection up. Behind a
-// network cut nothing answers, and without it such connections would hang for minutes. Longer than
-// the few lost packets in a row that a lossy link shows.
+// How long sent bytes may stay unacknowledged before the kernel closes the connection. Without this
+// limit, connections across a network partition would hang for minutes. It is long enough for the
+// few consecutive packet losses of a lossy link.
 constexpr int UnacknowledgedTimeoutMs = 4000;
-// A queue that has become this large isn't kept when it is empty again.
-constexpr std::size_t KeptQueueBytes = 64U << 10U;
+// The memory of a larger queue is released when the queue is empty.
+constexpr std::size_t MaxRetainedQueueBytes = 64U << 10U;
 
 } // namespace
 
@@ -30,28 +30,28 @@
 std::shared_ptr<stream_socket> stream_socket::connect(io_loop &loop, const socket_address &to,
                                                       stream_events &events)
 {
-    auto made = std::make_shared<stream_socket>(tcp::socket(loop.context()));
-    made->m_events = &events;
+    auto created = std::make_shared<stream_socket>(tcp::socket(loop.context()));
+    created->m_events = &events;
     error_code error;
     const auto ip = asio::ip::make_address(to.ip, error);
     if (!error)
-        made->m_socket.open(ip.is_v6() ? tcp::v6() : tcp::v4(), error);
+        created->m_socket.open(ip.is_v6() ? tcp::v6() : tcp::v4(), error);
     if (error) {
-        loop.post([made] { made->fail(false); });
-        return made;
+        loop.post([created] { created->reportEnd(false); });
+        return created;
     }
-    made->m_socket.async_connect({ip, to.port}, [made](const error_code &failed) {
-        if (!made->m_events)
+    created->m_socket.async_connect({ip, to.port}, [created](const error_code &failed) {
+        if (!created->m_events)
             return;
         if (failed) {
-            made->fail(false);
+            created->reportEnd(false);
             return;
         }
-        made->configure();
-        made->m_events->onConnected();
-        made->read();
+        created->configure();
+        created->m_events->onConnected();
+        created->read();
     });
-    return made;
+    return created;
 }
 
 void stream_socket::start(stream_events &events)
@@ -61,7 +61,8 @@
     read();
 }
 
-// An option that can't be set means that the connection has ended; reading reports that.
+// Errors are ignored: an option can't be set only if the connection has ended, which the next read
+// reports.
 void stream_socket::configure()
 {
     error_code ignored;
@@ -73,7 +74,7 @@
 
 void stream_socket::read()
 {
-    if (!m_events || !m_reading || m_readPending || m_ended)
+    if (!m_events || !m_reading || m_readPending || m_endReported)
         return;
     if (!m_buffer)
         m_buffer = std::make_unique<std::array<char, ReadBytes>>();
@@ -85,7 +86,7 @@
             if (!self->m_events)
                 return;
             if (error) {
-                self->fail(error == asio::error::eof);
+                self->reportEnd(error == asio::error::eof);
                 return;
             }
             self->m_events->onBytes({self->m_buffer->data(), count});
@@ -122,7 +123,7 @@
                             if (!self->m_events)
                                 return;
                             if (error)
-                                self->fail(false);
+                                self->reportEnd(false);
                             else
                                 self->flush();
                         });
@@ -140,14 +141,14 @@
         return;
     }
     if (error) {
-        fail(false);
+        reportEnd(false);
         return;
     }
     m_outBegin = 0;
     m_out.clear();
-    if (m_out.capacity() > KeptQueueBytes)
+    if (m_out.capacity() > MaxRetainedQueueBytes)
         m_out.shrink_to_fit();
-    if (m_finishAfterFlush)
+    if (m_shutdownAfterFlush)
         finishWriting();
     if (m_events)
         m_events->onDrained();
@@ -162,25 +163,25 @@
 void stream_socket::finishWriting()
 {
     if (queuedBytes() > 0) {
-        m_finishAfterFlush = true;
+        m_shutdownAfterFlush = true;
         return;
     }
-    error_code ignored; // the peer has gone: nothing is left to tell it
+    error_code ignored; // fails only if the connection has already ended
     m_socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-void stream_socket::fail(bool inOrder)
+void stream_socket::reportEnd(bool orderly)
 {
-    if (m_ended || !m_events)
+    if (m_endReported || !m_events)
         return;
-    m_ended = true;
-    m_events->onEnd(inOrder);
+    m_endReported = true;
+    m_events->onEnd(orderly);
 }
 
 void stream_socket::close()
 {
     m_events = nullptr;
-    error_code ignored; // the descriptor is released whatever the kernel answers
+    error_code ignored; // the descriptor is released even on an error
     m_socket.close(ignored);
 }
 
--- a/tests/http/head_test.cpp
+++ b/tests/http/head_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace orchidlead::http;
 
-TEST_CASE("a field is found in any case of its letters")
+TEST_CASE("field names are compared without regard to case")
 {
     const field_list fields{{"Content-Type", "text/plain"}, {"X-Id", "7"}};
     CHECK(findField(fields, "content-type") == "text/plain");
@@ -12,17 +12,17 @@
     CHECK_FALSE(findField(fields, "x-i"));
 }
 
-TEST_CASE("fields of one connection, and those that it names, aren't passed on")
+TEST_CASE("hop-by-hop fields and those listed in Connection are not forwarded")
 {
     const field_list fields{{"Host", "a"},       {"Connection", "close, X-Hop"},   {"X-Hop", "1"},
                             {"Keep-Alive", "3"}, {"Transfer-Encoding", "chunked"}, {"x-END", "2"}};
-    const auto kept = forwardedFields(fields);
-    REQUIRE(kept.size() == 2);
-    CHECK(kept[0].name == "Host");
-    CHECK(kept[1].name == "x-END");
+    const auto forwarded = forwardedFields(fields);
+    REQUIRE(forwarded.size() == 2);
+    CHECK(forwarded[0].name == "Host");
+    CHECK(forwarded[1].name == "x-END");
 }
 
-TEST_CASE("a head is written with its fields as they are spelled")
+TEST_CASE("a head is serialized with the spelling of its fields unchanged")
 {
     request_head head;
     head.method = "PUT";
@@ -31,7 +31,7 @@
     CHECK(formatHead(head) == "PUT /a/b?c=%20 HTTP/1.1\r\nhOST: x\r\nX-A: b  c\r\n\r\n");
 }
 
-TEST_CASE("the usual text of a status is known")
+TEST_CASE("a status has its standard reason phrase")
 {
     CHECK(statusText(404) == "Not Found");
     CHECK(statusText(503) == "Service Unavailable");
--- a/tests/http/io_loop_test.cpp
+++ b/tests/http/io_loop_test.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// Stands still, as the clock of a simulated machine does while its program computes.
+/// Clock that advances only on request, as on a simulated machine, where no time passes during
+/// computation.
 class frozen_clock final : public clock_source
 {
 public:
     [[nodiscard]] steady_time now() const override { return m_now; }
     [[nodiscard]] wall_time wallNow() const override { return {}; }
-    void moveOn() { m_now += std::chrono::microseconds{10}; }
+    void advance() { m_now += std::chrono::microseconds{10}; }
 
 private:
     steady_time m_now = std::chrono::steady_clock::now();
@@ -21,27 +22,27 @@
 
 } // namespace
 
-TEST_CASE("a task that sets its timer anew without a delay doesn't keep others from running")
+TEST_CASE("a task that rearms its timer with a zero delay does not starve other tasks")
 {
     frozen_clock clock;
     http::io_loop loop(clock);
     int runs = 0;
     int runsBeforeOther = 0;
-    std::function<void()> again = [&] {
-        constexpr int Enough = 1000;
+    std::function<void()> rearm = [&] {
+        constexpr int MaxRuns = 1000;
         if (++runs == 1)
             loop.post([&] { runsBeforeOther = runs; });
-        if (runs < Enough)
-            loop.callAfter(std::chrono::microseconds{0}, again);
+        if (runs < MaxRuns)
+            loop.callAfter(std::chrono::microseconds{0}, rearm);
     };
-    loop.callAfter(std::chrono::microseconds{0}, again);
-    clock.moveOn();
+    loop.callAfter(std::chrono::microseconds{0}, rearm);
+    clock.advance();
     loop.context().run_for(std::chrono::milliseconds{50});
     INFO("runs " << runs);
     CHECK(runsBeforeOther == 1);
 }
 
-TEST_CASE("timers run in the order of their times, and cancelled ones not at all")
+TEST_CASE("timers run in the order of their due times and cancelled timers do not run")
 {
     const system_clock_source clock;
     http::io_loop loop(clock);
@@ -56,7 +57,8 @@
 
 namespace {
 
-/// Jumps ahead of the system's steady clock, as the time since boot does in a suspension.
+/// Clock that jumps ahead of the system's steady clock, as the time since boot does during a
+/// suspension.
 class suspended_clock final : public clock_source
 {
 public:
@@ -73,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("timers set after a suspension run in time, and those that were due in it at once")
+TEST_CASE("timers set after a suspension run on time and those due during it run immediately")
 {
     suspended_clock clock;
     http::io_loop loop(clock);
--- a/tests/http/message_reader_test.cpp
+++ b/tests/http/message_reader_test.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t MaxHead = 512;
-constexpr std::size_t MaxBody = 64;
+constexpr std::size_t MaxHeadBytes = 512;
+constexpr std::size_t MaxBodyBytes = 64;
 
 template <class Head>
-class recorder final : public message_sink<Head>
+class recording_sink final : public message_sink<Head>
 {
 public:
     void onHead(Head head) override { heads.push_back(std::move(head)); }
@@ -25,34 +25,34 @@
     int completed = 0;
 };
 
-/// Reads a whole text byte by byte, as the slowest sender would send it.
+/// Passes a text to a reader byte by byte.
 template <class Reader>
-std::optional<read_error> readSlowly(Reader &reader, std::string_view text)
+std::optional<read_error> readByteByByte(Reader &reader, std::string_view text)
 {
-    std::string kept;
+    std::string unread;
     for (const char each : text) {
-        kept.push_back(each);
-        const auto progress = reader.read(kept);
+        unread.push_back(each);
+        const auto progress = reader.read(unread);
         if (progress.error)
             return progress.error;
-        kept.erase(0, progress.used);
+        unread.erase(0, progress.used);
     }
     return std::nullopt;
 }
 
 std::optional<read_error> readRequest(std::string_view text)
 {
-    recorder<request_head> sink;
-    request_reader reader(sink, MaxHead, MaxBody);
+    recording_sink<request_head> sink;
+    request_reader reader(sink, MaxHeadBytes, MaxBodyBytes);
     return reader.read(text).error;
 }
 
 } // namespace
 
-TEST_CASE("a request is read with its fields, its body and nothing of the next one")
+TEST_CASE("a request is parsed without consuming bytes of the next one")
 {
-    recorder<request_head> sink;
-    request_reader reader(sink, MaxHead, MaxBody);
+    recording_sink<request_head> sink;
+    request_reader reader(sink, MaxHeadBytes, MaxBodyBytes);
     const std::string first = "POST /x?y HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc";
     const auto progress = reader.read(first + "GET / HTTP/1.1\r\n");
     CHECK_FALSE(progress.error);
@@ -63,11 +63,11 @@
     CHECK(sink.completed == 1);
 }
 
-TEST_CASE("a request that comes byte by byte is the same request")
+TEST_CASE("a request received byte by byte is parsed like one received at once")
 {
-    recorder<request_head> sink;
-    request_reader reader(sink, MaxHead, MaxBody);
-    const auto error = readSlowly(
+    recording_sink<request_head> sink;
+    request_reader reader(sink, MaxHeadBytes, MaxBodyBytes);
+    const auto error = readByteByByte(
         reader,
         "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
     CHECK_FALSE(error);
@@ -75,7 +75,7 @@
     CHECK(sink.completed == 1);
 }
 
-TEST_CASE("requests whose end two programs could see differently are refused")
+TEST_CASE("requests with ambiguous framing are rejected")
 {
     const std::string head = "POST / HTTP/1.1\r\nHost: a\r\n";
     const std::vector<std::string> texts{
@@ -104,44 +104,44 @@
     }
 }
 
-TEST_CASE("a head and a body beyond their bounds are told apart")
+TEST_CASE("a head and a body over their limits are reported as different errors")
 {
-    const std::string large(MaxHead, 'x');
+    const std::string large(MaxHeadBytes, 'x');
     CHECK(readRequest("GET / HTTP/1.1\r\nHost: a\r\nX-A: " + large + "\r\n\r\n")
           == read_error::HeadTooLarge);
     CHECK(readRequest("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\n")
           == read_error::BodyTooLarge);
 }
 
-TEST_CASE("an answer without a length is whole only when its connection ends in order")
+TEST_CASE("an answer without a length is complete when its connection closes in an orderly way")
 {
-    recorder<response_head> sink;
+    recording_sink<response_head> sink;
     response_reader reader(sink, false);
     CHECK_FALSE(reader.read("HTTP/1.1 200 OK\r\n\r\nabc").error);
     CHECK_FALSE(reader.done());
-    CHECK(reader.finishAtEnd());
+    CHECK(reader.finishAtEndOfStream());
     CHECK(sink.body == "abc");
     CHECK(sink.completed == 1);
 }
 
-TEST_CASE("an answer that ends early isn't whole")
+TEST_CASE("a truncated answer is not complete")
 {
     for (const std::string text :
          {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
           "HTTP/1.1 200 OK\r\nContent-", ""}) {
         INFO("answer: " << text);
-        recorder<response_head> sink;
+        recording_sink<response_head> sink;
         response_reader reader(sink, false);
         CHECK_FALSE(reader.read(text).error);
-        CHECK_FALSE(reader.finishAtEnd());
+        CHECK_FALSE(reader.finishAtEndOfStream());
         CHECK(sink.completed == 0);
     }
 }
 
-TEST_CASE("interim answers are passed over")
+TEST_CASE("interim answers are skipped")
 {
-    recorder<response_head> sink;
+    recording_sink<response_head> sink;
     response_reader reader(sink, false);
     CHECK_FALSE(reader.read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n").error);
     REQUIRE(sink.heads.size() == 1);
@@ -149,18 +149,18 @@
     CHECK(reader.done());
 }
 
-TEST_CASE("bytes behind a whole answer aren't taken for a part of it")
+TEST_CASE("bytes after a complete answer are not consumed as part of it")
 {
-    recorder<response_head> sink;
+    recording_sink<response_head> sink;
     response_reader reader(sink, false);
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na";
     CHECK(reader.read(answer + "HTTP/1.1 200 OK\r\n").used == answer.size());
     CHECK(reader.done());
 }
 
-TEST_CASE("the answer to a HEAD request has no body whatever length it names")
+TEST_CASE("the answer to a HEAD request has no body even if it declares a length")
 {
-    recorder<response_head> sink;
+    recording_sink<response_head> sink;
     response_reader reader(sink, true);
     CHECK_FALSE(reader.read("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n").error);
     CHECK(reader.done());
