--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -62,9 +62,9 @@
     return fromKernelAddress(address);
 }
 
-std::string lastSystemError(const std::string &doing)
+std::string lastSystemError(const std::string &operation)
 {
-    return doing + ": " + std::generic_category().message(errno);
+    return operation + ": " + std::generic_category().message(errno);
 }
 
 } // namespace orchidlead::net
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -9,7 +9,7 @@
 
 namespace orchidlead::net {
 
-/// An address in the form that the kernel takes.
+/// A socket address as system calls take it.
 struct kernel_address
 {
     sockaddr_storage storage{};
@@ -22,17 +22,17 @@
     [[nodiscard]] sockaddr *get() { return reinterpret_cast<sockaddr *>(&storage); }
 };
 
-/// Empty when the text isn't an IPv4 or IPv6 number.
+/// Returns nothing if the text is not a numeric IPv4 or IPv6 address.
 [[nodiscard]] std::optional<kernel_address> toKernelAddress(const socket_address &address);
 [[nodiscard]] socket_address fromKernelAddress(const kernel_address &address);
 
-/// `ip:port`, with brackets around an IPv6 number.
+/// Formats `ip:port`, with brackets around an IPv6 address.
 [[nodiscard]] std::string toHostField(const socket_address &address);
 
 /// The address that a socket is bound to.
 [[nodiscard]] socket_address localAddress(int fd);
 
-/// What the last failed system call says.
-[[nodiscard]] std::string lastSystemError(const std::string &doing);
+/// Describes the failed operation with the text of `errno`.
+[[nodiscard]] std::string lastSystemError(const std::string &operation);
 
 } // namespace orchidlead::net
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-// libwebsockets formats the request line into 2 KiB and would cut a longer one without a word.
+// libwebsockets formats the request line into 2 KiB and silently truncates a longer one.
 constexpr std::size_t MaxRequestLineBytes = 2000;
-// The state that the kernel gives a connection whose peer has closed it in order.
+// TCP_CLOSE_WAIT: the peer has closed the connection without a reset.
 constexpr int CloseWait = 8;
 
-// Fields that libwebsockets or the call itself writes.
-bool isOwnField(std::string_view name)
+// Header fields that libwebsockets or `appendFields` writes.
+bool isReservedField(std::string_view name)
 {
     return name == "host" || name == "content-length" || name == "connection"
         || name == "transfer-encoding";
@@ -41,11 +41,11 @@
 } // namespace
 
 client_call::client_call(lws_event_loop &loop, http_call call, call_events events,
-                         std::function<void()> onGone)
+                         std::function<void()> onReleased)
     : m_loop(loop)
     , m_call(std::move(call))
     , m_events(std::move(events))
-    , m_onGone(std::move(onGone))
+    , m_onReleased(std::move(onReleased))
 { }
 
 void client_call::start()
@@ -54,11 +54,11 @@
     m_totalTimer = m_loop.callAfter(m_call.timeout, [this, self] {
         m_totalTimer = 0;
         m_timedOut = true;
-        end(brokenEnd());
+        end(incompleteEnd());
     });
     m_connectTimer = m_loop.callAfter(m_call.connectTimeout, [this, self] {
         m_connectTimer = 0;
-        end(brokenEnd());
+        end(incompleteEnd());
     });
     m_starting = true;
     if (isSendable())
@@ -66,7 +66,7 @@
     m_starting = false;
     if (m_wsi)
         return;
-    m_loop.post([self] { self->end(self->brokenEnd()); });
+    m_loop.post([self] { self->end(self->incompleteEnd()); });
 }
 
 bool client_call::isSendable() const
@@ -77,10 +77,9 @@
         && std::ranges::all_of(m_call.headers, isValidField);
 }
 
-// Every call has a fresh connection. libwebsockets' own reuse (LCCSCF_PIPELINE) may move a call
-// that it has queued to another connection when the first one dies, which would be sending it
-// again; and a kept connection that the server closes just then can't be told from a call that was
-// received.
+// Every call opens a new connection. With connection reuse (LCCSCF_PIPELINE), libwebsockets may
+// move a queued call to another connection when the first one fails, which would send it twice. If
+// the server closes a reused connection, the client also cannot tell whether it received the call.
 void client_call::connect()
 {
     const std::string host = toHostField(m_call.address);
@@ -92,7 +91,7 @@
     info.path = m_call.path.c_str();
     info.host = host.c_str();
     info.method = m_call.method.c_str();
-    // Without it libwebsockets binds the connection to no protocol and swallows the body.
+    // Without this, libwebsockets binds the connection to no protocol and discards the body.
     info.local_protocol_name = ProtocolName;
     info.ssl_connection = LCCSCF_HTTP_NO_FOLLOW_REDIRECT;
     info.opaque_user_data = static_cast<lws_endpoint *>(this);
@@ -104,21 +103,21 @@
 void client_call::cancel()
 {
     const auto self = shared_from_this();
-    m_over = true;
+    m_ended = true;
     m_events = {};
     release();
 }
 
-// While it isn't reading, a little is read all the same: what libwebsockets has already taken from
-// the kernel with the head would otherwise make it poll without waiting.
+// While reading is paused, `read` still buffers up to `TransferBytes`: libwebsockets polls without
+// waiting as long as it has unread input that it took from the kernel together with the head.
 void client_call::setReading(bool reading)
 {
-    if (m_over || std::exchange(m_reading, reading) == reading || !reading)
+    if (m_ended || std::exchange(m_reading, reading) == reading || !reading)
         return;
     const std::weak_ptr<client_call> weak = weak_from_this();
     m_loop.post([weak] {
         if (const auto call = weak.lock())
-            call->deliverHeld();
+            call->deliverPending();
     });
 }
 
@@ -158,21 +157,21 @@
     }
     if (outermost)
         m_insideEvent = false;
-    return m_over ? -1 : result;
+    return m_ended ? -1 : result;
 }
 
-// libwebsockets calls this immediately before it writes the head to the kernel, in the same call.
-// So up to here nothing has left, and from here on something may have.
+// libwebsockets calls this immediately before it writes the head to the socket, in the same call.
+// Before this point no byte has been sent; after it, bytes may have been sent.
 int client_call::onAppendHeaders(unsigned char **next, std::size_t room)
 {
-    if (m_over)
+    if (m_ended)
         return -1;
     m_loop.cancelTimer(std::exchange(m_connectTimer, 0));
     if (!appendFields(next, *next + room))
         return -1;
     if (m_call.mayStillSend && !m_call.mayStillSend())
         return -1;
-    if (m_over)
+    if (m_ended)
         return -1;
     m_sent = true;
     if (!m_call.body.empty()) {
@@ -186,7 +185,7 @@
 {
     std::string text;
     for (const auto &header : m_call.headers) {
-        if (!isOwnField(header.name))
+        if (!isReservedField(header.name))
             text.append(header.name).append(": ").append(header.value).append("\r\n");
     }
     if (!m_call.body.empty() || takesBody(m_call.method))
@@ -200,7 +199,7 @@
 
 int client_call::onWriteable()
 {
-    if (m_over)
+    if (m_ended)
         return -1;
     if (m_bodySent < m_call.body.size())
         return writeBody();
@@ -225,7 +224,7 @@
 
 int client_call::onHead()
 {
-    if (m_over)
+    if (m_ended)
         return -1;
     const int status = static_cast<int>(lws_http_client_http_response(m_wsi));
     const auto headers = copyHeaders(m_wsi, m_call.customHeaders);
@@ -238,7 +237,7 @@
         m_framing = framing::None;
     if (const auto onHeadEvent = m_events.onHead)
         onHeadEvent(status, headers);
-    if (m_over)
+    if (m_ended)
         return -1;
     if (none || (m_framing == framing::Length && m_length == 0)) {
         end(call_end::Complete);
@@ -252,7 +251,7 @@
     const std::string coding = copyHeader(m_wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING);
     const std::string length = copyHeader(m_wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH);
     if (!coding.empty()) {
-        // libwebsockets knows this one spelling only, and a length beside it is ambiguous.
+        // libwebsockets supports only this spelling. A content length in addition is ambiguous.
         m_framing = framing::Chunked;
         if (coding != "chunked" || !length.empty())
             return call_end::Broken;
@@ -274,10 +273,10 @@
 
 int client_call::read()
 {
-    if (m_over)
+    if (m_ended)
         return -1;
-    // More than libwebsockets can have taken ahead: now the rest waits in the kernel.
-    if (!m_reading && m_held.size() > TransferBytes)
+    // libwebsockets cannot have read more than this ahead, so the rest stays in the kernel.
+    if (!m_reading && m_pendingBytes.size() > TransferBytes)
         return 0;
     m_unreadInput = false;
     const auto buffer = m_loop.scratch();
@@ -289,11 +288,11 @@
     return result != 0 ? -1 : 0;
 }
 
-// The length is checked because libwebsockets computes it from the chunk size that the server
-// names, and a size beyond the range of an int makes it negative.
+// The size is checked because libwebsockets computes it from the chunk size in the response, and a
+// chunk size beyond the range of an int makes it negative.
 int client_call::onBytes(std::string_view bytes)
 {
-    if (m_over || bytes.size() > MaxParsedHeaderBytes + TransferBytes)
+    if (m_ended || bytes.size() > MaxParsedHeaderBytes + TransferBytes)
         return -1;
     m_received += bytes.size();
     if (m_received > m_call.maxResponseBytes) {
@@ -302,15 +301,15 @@
     }
     if (m_framing == framing::Length && m_received > m_length)
         return -1;
-    if (m_reading && m_held.empty())
+    if (m_reading && m_pendingBytes.empty())
         deliver(bytes);
     else
-        m_held.append(bytes);
-    return m_over ? -1 : 0;
+        m_pendingBytes.append(bytes);
+    return m_ended ? -1 : 0;
 }
 
-// libwebsockets also calls this when the connection ends in the middle of a chunked answer. Then
-// nothing was read in this call: the place to read to hasn't moved.
+// libwebsockets also calls this when the connection ends in the middle of a chunked response. In
+// that case `read` has received no bytes, so `m_readNext` still equals `m_readBuffer`.
 int client_call::onComplete()
 {
     const bool atEndOfInput = m_readBuffer && m_readNext == m_readBuffer;
@@ -323,17 +322,17 @@
         whole = !atEndOfInput;
         break;
     case framing::UntilClose:
-        whole = closedInOrder();
+        whole = closedWithoutReset();
         break;
     case framing::None:
         whole = true;
         break;
     }
-    end(whole ? call_end::Complete : brokenEnd());
+    end(whole ? call_end::Complete : incompleteEnd());
     return -1;
 }
 
-bool client_call::closedInOrder() const
+bool client_call::closedWithoutReset() const
 {
     tcp_info info{};
     socklen_t length = sizeof(info);
@@ -342,13 +341,13 @@
     return info.tcpi_state == CloseWait;
 }
 
-// More events may follow for the same socket, when this object is no more.
+// Unbinds the socket, because further events for it may follow after this object is destroyed.
 void client_call::onClose(lws *wsi)
 {
     lws_set_opaque_user_data(wsi, nullptr);
     m_wsi = nullptr;
     if (!m_starting)
-        end(brokenEnd());
+        end(incompleteEnd());
 }
 
 void client_call::deliver(std::string_view bytes)
@@ -357,43 +356,43 @@
         onBodyEvent(bytes);
 }
 
-void client_call::deliverHeld()
+void client_call::deliverPending()
 {
     const auto self = shared_from_this();
-    if (m_over || !m_reading)
+    if (m_ended || !m_reading)
         return;
-    if (const auto held = std::exchange(m_held, {}); !held.empty())
-        deliver(held);
-    if (m_over || !m_reading)
+    if (const auto pending = std::exchange(m_pendingBytes, {}); !pending.empty())
+        deliver(pending);
+    if (m_ended || !m_reading)
         return;
-    if (m_heldEnd)
-        end(*m_heldEnd);
+    if (m_pendingEnd)
+        end(*m_pendingEnd);
     else if (m_wsi && m_unreadInput)
         lws_callback_on_writable(m_wsi);
 }
 
-call_end client_call::brokenEnd() const
+call_end client_call::incompleteEnd() const
 {
     if (!m_sent)
         return call_end::NotSent;
     return m_timedOut ? call_end::TimedOut : call_end::Broken;
 }
 
-// An end that comes while the user isn't reading waits behind the bytes that are held for him; a
-// timeout doesn't wait.
-void client_call::end(call_end how)
+// An end that occurs while reading is paused is reported after the buffered bytes. A timeout is
+// reported at once.
+void client_call::end(call_end outcome)
 {
-    if (m_over)
+    if (m_ended)
         return;
-    if (!m_held.empty() && !m_timedOut) {
-        m_heldEnd = m_heldEnd.value_or(how);
+    if (!m_pendingBytes.empty() && !m_timedOut) {
+        m_pendingEnd = m_pendingEnd.value_or(outcome);
         return;
     }
-    m_over = true;
+    m_ended = true;
     const auto events = std::exchange(m_events, {});
     release();
     if (events.onEnd)
-        events.onEnd(how);
+        events.onEnd(outcome);
 }
 
 void client_call::release()
@@ -401,9 +400,9 @@
     m_loop.cancelTimer(std::exchange(m_connectTimer, 0));
     m_loop.cancelTimer(std::exchange(m_totalTimer, 0));
     if (auto *wsi = std::exchange(m_wsi, nullptr))
-        abandon(wsi, m_insideEvent);
-    if (const auto onGone = std::exchange(m_onGone, {}))
-        onGone();
+        detachAndClose(wsi, m_insideEvent);
+    if (const auto onReleased = std::exchange(m_onReleased, {}))
+        onReleased();
 }
 
 } // namespace orchidlead::net
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -11,25 +11,26 @@
 
 namespace orchidlead::net {
 
-/// One call on a connection of its own, from connecting to the end of the answer.
+/// One call on a connection of its own, from connecting to the end of the response.
 class client_call final
     : public lws_endpoint
     , public std::enable_shared_from_this<client_call>
 {
 public:
-    /// `onGone` is called once, when neither libwebsockets nor a timer refers to the call any more.
+    /// `onReleased` is called once, when neither libwebsockets nor a timer refers to the call any
+    /// more.
     client_call(lws_event_loop &loop, http_call call, call_events events,
-                std::function<void()> onGone);
+                std::function<void()> onReleased);
 
     void start();
-    /// Reports nothing from now on and closes the connection.
+    /// Closes the connection; no event is reported from now on.
     void cancel();
     void setReading(bool reading);
 
     int onEvent(lws *wsi, lws_callback_reasons reason, void *in, std::size_t length) override;
 
 private:
-    /// How an answer says where it ends.
+    /// How the end of a response body is determined.
     enum class framing { Length, Chunked, UntilClose, None };
 
     [[nodiscard]] bool isSendable() const;
@@ -44,35 +45,37 @@
     [[nodiscard]] int onBytes(std::string_view bytes);
     [[nodiscard]] int onComplete();
     void onClose(lws *wsi);
-    [[nodiscard]] bool closedInOrder() const;
+    [[nodiscard]] bool closedWithoutReset() const;
     void deliver(std::string_view bytes);
-    void deliverHeld();
-    /// The end without a whole answer.
-    [[nodiscard]] call_end brokenEnd() const;
-    void end(call_end how);
+    void deliverPending();
+    /// The outcome of a call whose response is incomplete.
+    [[nodiscard]] call_end incompleteEnd() const;
+    void end(call_end outcome);
     void release();
 
     lws_event_loop &m_loop;
     http_call m_call;
     call_events m_events;
-    std::function<void()> m_onGone;
+    std::function<void()> m_onReleased;
     lws *m_wsi = nullptr;
     bool m_insideEvent = false;
-    bool m_starting = false; ///< `start` hasn't returned, so nothing may be reported yet
-    bool m_over = false; ///< the end was reported, or the call was cancelled
-    bool m_sent = false; ///< a byte may have left
+    /// `start` has not returned yet, so no event may be reported.
+    bool m_starting = false;
+    bool m_ended = false; ///< completed or cancelled
+    bool m_sent = false; ///< bytes may have been sent
     bool m_timedOut = false;
     std::size_t m_bodySent = 0;
 
     framing m_framing = framing::None;
-    std::size_t m_length = 0; ///< bytes that the answer declares
+    std::size_t m_length = 0; ///< declared by the response
     std::size_t m_received = 0;
-    const char *m_readBuffer = nullptr; ///< while `read` runs, where it asked to have the bytes
-    char *m_readNext = nullptr; ///< and how far libwebsockets has come
+    /// Start of the buffer that `read` passed to libwebsockets; null outside `read`.
+    const char *m_readBuffer = nullptr;
+    char *m_readNext = nullptr; ///< where libwebsockets writes next
     bool m_reading = true;
-    bool m_unreadInput = false; ///< libwebsockets said that there is input, and it was left there
-    std::string m_held; ///< received while not reading
-    std::optional<call_end> m_heldEnd; ///< the end, behind `m_held`
+    bool m_unreadInput = false; ///< input was signalled and not read
+    std::string m_pendingBytes; ///< received while reading was paused
+    std::optional<call_end> m_pendingEnd; ///< reported after `m_pendingBytes`
 
     timer_id m_connectTimer = 0;
     timer_id m_totalTimer = 0;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -11,38 +11,39 @@
 
 namespace {
 
-// libwebsockets' own limits, in seconds. Calls and connections have timers of their own; these only
-// end what those have forgotten, and a TLS connection whose peer doesn't answer the closing.
-constexpr int LibraryTimeout = 300;
-constexpr int HeaderHoldTimeout = 24 * 3600;
-// Rounds without progress before the loop rests, and for how long.
+// Timeouts of libwebsockets. Calls and connections have timers of their own; these timeouts only
+// end connections that the timers miss, and TLS connections whose peer does not answer the
+// shutdown.
+constexpr int LibraryTimeoutSeconds = 300;
+constexpr int HeaderHoldTimeoutSeconds = 24 * 3600;
+// Consecutive iterations without progress after which the loop sleeps, and for how long.
 constexpr int MaxIdleRounds = 64;
-constexpr long RestNanoseconds = 200'000;
-// Descriptors that the loop can serve: callers and calls at the usual bounds, and some for the
-// rest. Beyond, connections are closed and calls end with `NotSent`.
+constexpr long SpinSleepNanoseconds = 200'000;
+// Enough descriptors for clients and calls at their default limits, with some to spare. When they
+// are used up, connections are closed and calls end with `NotSent`.
 constexpr rlim_t MaxDescriptors = 10240;
 
-/// Lowers the soft limit of descriptors while libwebsockets reads it.
+/// Lowers the soft descriptor limit while libwebsockets reads it.
 ///
-/// libwebsockets makes a table for as many descriptors as the process may open, and the packaged
-/// build looks through all of it for each new socket, as a check of its own. Limits of a million
-/// are usual on servers.
+/// libwebsockets allocates a table with an entry for each descriptor that the process may open, and
+/// the packaged build scans the whole table for each new socket as a consistency check. Limits of a
+/// million are common on servers.
 class descriptor_limit
 {
 public:
     descriptor_limit()
     {
-        getrlimit(RLIMIT_NOFILE, &m_before);
-        rlimit lowered = m_before;
-        lowered.rlim_cur = std::min(m_before.rlim_cur, MaxDescriptors);
+        getrlimit(RLIMIT_NOFILE, &m_original);
+        rlimit lowered = m_original;
+        lowered.rlim_cur = std::min(m_original.rlim_cur, MaxDescriptors);
         setrlimit(RLIMIT_NOFILE, &lowered);
     }
-    ~descriptor_limit() { setrlimit(RLIMIT_NOFILE, &m_before); }
+    ~descriptor_limit() { setrlimit(RLIMIT_NOFILE, &m_original); }
     descriptor_limit(const descriptor_limit &) = delete;
     descriptor_limit &operator=(const descriptor_limit &) = delete;
 
 private:
-    rlimit m_before{};
+    rlimit m_original{};
 };
 
 } // namespace
@@ -65,12 +66,12 @@
 const lws_protocols *lws_event_loop::protocols()
 {
     static const std::array<lws_protocols, 2> list = [] {
-        std::array<lws_protocols, 2> made{};
-        made[0].name = ProtocolName;
-        made[0].callback = &lws_event_loop::dispatch;
-        // Some libwebsockets callbacks are only made for connections that have user memory.
-        made[0].per_session_data_size = sizeof(void *);
-        return made;
+        std::array<lws_protocols, 2> created{};
+        created[0].name = ProtocolName;
+        created[0].callback = &lws_event_loop::dispatch;
+        // libwebsockets makes some callbacks only for connections with per-session data.
+        created[0].per_session_data_size = sizeof(void *);
+        return created;
     }();
     return list.data();
 }
@@ -88,29 +89,31 @@
     info.user = this;
     info.max_http_header_data = MaxParsedHeaderBytes;
     info.pt_serv_buf_size = LWS_PRE + TransferBytes;
-    info.timeout_secs = LibraryTimeout;
+    info.timeout_secs = LibraryTimeoutSeconds;
     {
         const descriptor_limit limit;
         m_context = lws_create_context(&info);
     }
     if (!m_context)
-        return failure(net_error{"libwebsockets made no context"});
+        return failure(net_error{"libwebsockets could not create a context"});
 
     lws_context_creation_info vhost{};
     vhost.port = CONTEXT_PORT_NO_LISTEN_SERVER;
     vhost.vhost_name = "plain";
     vhost.protocols = protocols();
-    vhost.timeout_secs_ah_idle = HeaderHoldTimeout;
-    // A first line that isn't HTTP is handed to us raw, so that it can be answered with 400.
+    vhost.timeout_secs_ah_idle = HeaderHoldTimeoutSeconds;
+    // Delivers input that does not start with an HTTP request line as raw data, so that the server
+    // can answer with 400.
     vhost.options = LWS_SERVER_OPTION_FALLBACK_TO_APPLY_LISTEN_ACCEPT_CONFIG;
     m_plainVhost = lws_create_vhost(m_context, &vhost);
     if (!m_plainVhost)
-        return failure(net_error{"libwebsockets made no vhost"});
+        return failure(net_error{"libwebsockets could not create a vhost"});
     return success();
 }
 
-// The vhost outlives the server: libwebsockets may move a connection to another vhost by its host
-// header, and would close it when that other vhost goes. So no vhost goes before the loop.
+// The vhost outlives the server. libwebsockets may move a connection to another vhost according to
+// its host header, and closes it when that vhost is destroyed. So no vhost is destroyed before the
+// loop.
 result<lws_vhost *, net_error> lws_event_loop::makeTlsVhost(const std::string &certificateFile,
                                                             const std::string &keyFile,
                                                             bool offerHttp2)
@@ -119,15 +122,16 @@
     info.port = CONTEXT_PORT_NO_LISTEN_SERVER;
     info.vhost_name = "tls";
     info.protocols = protocols();
-    info.timeout_secs_ah_idle = HeaderHoldTimeout;
+    info.timeout_secs_ah_idle = HeaderHoldTimeoutSeconds;
     info.options = LWS_SERVER_OPTION_DO_SSL_GLOBAL_INIT;
     info.ssl_cert_filepath = certificateFile.c_str();
     info.ssl_private_key_filepath = keyFile.c_str();
     info.alpn = offerHttp2 ? "h2,http/1.1" : "http/1.1";
-    info.keepalive_timeout = LibraryTimeout;
+    info.keepalive_timeout = LibraryTimeoutSeconds;
     auto *vhost = lws_create_vhost(m_context, &info);
     if (!vhost)
-        return failure(net_error{"no TLS with " + certificateFile + " and " + keyFile});
+        return failure(
+            net_error{"cannot use TLS certificate " + certificateFile + " with key " + keyFile});
     return success(vhost);
 }
 
@@ -166,12 +170,12 @@
         if (lws_service(m_context, 0) < 0)
             break;
         runPosted();
-        restWhenSpinning();
+        sleepIfSpinning();
     }
     m_stopped.store(false);
 }
 
-// Only stores to an atomic and writes to a pipe, as a signal handler may.
+// Async-signal-safe: only stores to an atomic and writes to a pipe.
 void lws_event_loop::stop()
 {
     m_stopped.store(true);
@@ -207,7 +211,7 @@
     return id;
 }
 
-// Leaves the wake-up as it is: when it comes too early it only schedules the next one.
+// Does not reschedule the wake-up: one that is too early only schedules the next one.
 void lws_event_loop::cancelTimer(timer_id timer)
 {
     m_timers.cancel(timer);
@@ -243,20 +247,20 @@
     scheduleTimers();
 }
 
-// libwebsockets polls without waiting in cases that we can't end: it rounds the wait for a timer
-// down to milliseconds, and it leaves input unread that a caller sends ahead while its earlier
-// request is being answered. A short rest keeps those from using up a core.
-void lws_event_loop::restWhenSpinning()
+// libwebsockets polls without waiting in two cases that cannot be avoided: it rounds the wait for a
+// timer down to milliseconds, and it leaves pipelined input unread while an earlier request is
+// being answered. A short sleep prevents the loop from using a whole core.
+void lws_event_loop::sleepIfSpinning()
 {
     m_idleRounds = m_progress ? 0 : m_idleRounds + 1;
     if (m_idleRounds < MaxIdleRounds)
         return;
-    const timespec rest{0, RestNanoseconds};
-    nanosleep(&rest, nullptr);
+    const timespec pause{0, SpinSleepNanoseconds};
+    nanosleep(&pause, nullptr);
 }
 
-// Streams of HTTP/2 are made by libwebsockets, without an endpoint. Streams whose endpoint is gone
-// have none either; those only see the events of their end.
+// libwebsockets creates HTTP/2 streams without an endpoint. Streams whose endpoint was destroyed
+// have none either, but they only get the events of their end.
 lws_endpoint *lws_event_loop::adoptedStream(lws *wsi, lws_callback_reasons reason)
 {
     if (reason != LWS_CALLBACK_FILTER_HTTP_CONNECTION)
--- a/src/net/header_fields.cpp
+++ b/src/net/header_fields.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Tokens that hold the request line, the HTTP/2 pseudo fields and libwebsockets' own notes.
+// False for tokens of the request line, HTTP/2 pseudo-header fields and internal tokens of
+// libwebsockets.
 bool isField(std::string_view name)
 {
     const auto space = name.find(' ');
@@ -82,7 +83,7 @@
     const int length = lws_hdr_total_length(wsi, token);
     if (length <= 0)
         return {};
-    // One more for each joint of a field that was sent several times, and for the end.
+    // For the separators of a field that occurs several times, and the terminating null character.
     constexpr int Spare = 64;
     std::string value(static_cast<std::size_t>(length) + Spare, '\0');
     const int copied = lws_hdr_copy(wsi, value.data(), length + Spare, token);
--- a/src/net/header_fields.h
+++ b/src/net/header_fields.h
@@ -12,28 +12,28 @@
 
 namespace orchidlead::net {
 
-/// Copies the fields that libwebsockets knows, and of the others those named in `custom`.
+/// Copies the header fields that libwebsockets recognises, and those named in `custom`.
 [[nodiscard]] header_list copyHeaders(lws *wsi, std::span<const std::string> custom);
 
-/// Copies the part of the path behind the question mark.
+/// Copies the query string, without the question mark.
 [[nodiscard]] std::string copyQuery(lws *wsi);
 
-/// Takes digits only: no sign, no space, no list.
+/// Parses a content length: digits only, without sign, white space or list.
 [[nodiscard]] std::optional<std::uint64_t> parseLength(std::string_view text);
 
-/// Bytes of names and values.
+/// Total size of all names and values.
 [[nodiscard]] std::size_t headerBytes(const header_list &headers);
 
-/// Copies one field that libwebsockets knows; empty when it isn't there.
+/// Copies one header field that libwebsockets recognises; empty if it is absent.
 [[nodiscard]] std::string copyHeader(lws *wsi, lws_token_indexes token);
 
-/// Whether the field can be sent without breaking the lines of the head.
+/// Whether the field is safe to send: its name is valid and its value has no line break.
 [[nodiscard]] bool isValidField(const http_header &header);
 
-/// Compares without regard to the case of ASCII letters.
+/// Compares case-insensitively (ASCII).
 [[nodiscard]] bool equalsIgnoringCase(std::string_view a, std::string_view b);
 
-/// The text of a status, such as "Not Found".
+/// The reason phrase of a status code, such as "Not Found".
 [[nodiscard]] std::string_view statusText(int status);
 
 } // namespace orchidlead::net
--- a/src/net/http2_stream.cpp
+++ b/src/net/http2_stream.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The largest frame that every peer must take.
+// The frame size that every HTTP/2 peer must accept.
 constexpr std::size_t MaxFrameBytes = 16384;
 
 bool takesBody(std::string_view method)
@@ -20,8 +20,8 @@
     return method == "POST" || method == "PUT" || method == "PATCH";
 }
 
-// Fields that belong to a connection, which HTTP/2 has no place for, and those written here.
-bool isOwnField(std::string_view name)
+// Connection-specific header fields, which HTTP/2 forbids, and those that `setHead` writes.
+bool isReservedField(std::string_view name)
 {
     return name == "content-length" || name == "transfer-encoding" || name == "connection"
         || name == "keep-alive" || name == "upgrade";
@@ -40,12 +40,12 @@
 {
     m_wsi = wsi;
     lws_set_opaque_user_data(wsi, static_cast<lws_endpoint *>(this));
-    restartTick(m_owner->options().requestTimeout);
+    restartTimer(m_owner->options().requestTimeout);
 }
 
 void http2_stream::detach()
 {
-    stopTick();
+    stopTimer();
     m_owner = nullptr;
     m_phase = phase::Closed;
     if (auto *wsi = std::exchange(m_wsi, nullptr))
@@ -79,7 +79,7 @@
     default:
         break;
     }
-    return m_wsi && !m_doomed ? result : -1;
+    return m_wsi && !m_closeScheduled ? result : -1;
 }
 
 int http2_stream::onHead(std::string_view path)
@@ -87,8 +87,8 @@
     if (!m_owner)
         return -1;
     m_request.path = path;
-    if (const auto why = readHead()) {
-        refuse(*why);
+    if (const auto cause = readHead()) {
+        refuse(*cause);
         return 0;
     }
     lws_set_timeout(m_wsi, NO_PENDING_TIMEOUT, 0);
@@ -113,7 +113,7 @@
         return HeadTooLarge;
     const auto length = findHeader(m_request.headers, "content-length");
     if (!length && takesBody(m_request.method))
-        return NoLength;
+        return LengthRequired;
     if (!length)
         return std::nullopt;
     const auto bytes = parseLength(*length);
@@ -146,7 +146,7 @@
 {
     m_bodyEnded = true;
     if (m_phase == phase::Lingering)
-        doom();
+        scheduleClose();
     if (m_phase != phase::Body)
         return;
     if (m_request.body.size() == m_bodyBytes)
@@ -157,8 +157,8 @@
 
 void http2_stream::dispatch()
 {
-    m_phase = phase::Answering;
-    stopTick();
+    m_phase = phase::Responding;
+    stopTimer();
     releaseBody();
     const auto response = std::make_shared<connection_response>(weak_from_this());
     m_response = response;
@@ -167,17 +167,17 @@
     m_owner->handle(std::move(request), response);
 }
 
-void http2_stream::refuse(const refusal &why)
+void http2_stream::refuse(const refusal &cause)
 {
     m_phase = phase::Refusing;
     releaseBody();
     m_request = {};
-    const std::string body = refusalBody(why);
+    const std::string body = refusalBody(cause);
     header_list headers{{"content-type", "application/json"}};
-    if (const auto retryAfter = refusalRetryAfter(why); !retryAfter.empty())
+    if (const auto retryAfter = refusalRetryAfter(cause); !retryAfter.empty())
         headers.push_back({"retry-after", std::string(retryAfter)});
-    setHead(why.status, headers, body.size());
-    m_answerEnded = true;
+    setHead(cause.status, headers, body.size());
+    m_responseEnded = true;
     queue(body);
 }
 
@@ -189,22 +189,22 @@
 
 void http2_stream::sendWhole(int status, const header_list &headers, std::string_view body)
 {
-    if (m_phase != phase::Answering)
+    if (m_phase != phase::Responding)
         return;
     setHead(status, headers, body.size());
-    m_answerEnded = true;
+    m_responseEnded = true;
     queue(m_noBody ? "" : body);
 }
 
 void http2_stream::sendHead(int status, const header_list &headers)
 {
-    if (m_phase != phase::Answering)
+    if (m_phase != phase::Responding)
         return;
     std::optional<std::size_t> length;
     if (const auto declared = findHeader(headers, "content-length"))
         length = parseLength(*declared);
     setHead(status, headers, length);
-    m_promised = m_noBody ? std::nullopt : length;
+    m_declaredBytesLeft = m_noBody ? std::nullopt : length;
     queue({});
 }
 
@@ -216,7 +216,7 @@
     m_status = status;
     m_headers.clear();
     for (const auto &header : headers) {
-        if (isValidField(header) && !isOwnField(header.name))
+        if (isValidField(header) && !isReservedField(header.name))
             m_headers.push_back(header);
     }
     if (length && !withoutLength)
@@ -225,29 +225,29 @@
 
 void http2_stream::sendPart(std::string_view bytes)
 {
-    if (m_phase != phase::Answering || m_answerEnded || m_noBody)
+    if (m_phase != phase::Responding || m_responseEnded || m_noBody)
         return;
-    if (m_promised) {
-        bytes = bytes.substr(0, *m_promised);
-        *m_promised -= bytes.size();
+    if (m_declaredBytesLeft) {
+        bytes = bytes.substr(0, *m_declaredBytesLeft);
+        *m_declaredBytesLeft -= bytes.size();
     }
     queue(bytes);
 }
 
 void http2_stream::sendEnd()
 {
-    if (m_phase != phase::Answering || m_answerEnded)
+    if (m_phase != phase::Responding || m_responseEnded)
         return;
-    m_answerEnded = true;
-    m_truncated = m_promised && *m_promised > 0;
+    m_responseEnded = true;
+    m_truncated = m_declaredBytesLeft && *m_declaredBytesLeft > 0;
     queue({});
 }
 
-void http2_stream::dropped()
+void http2_stream::onWriterReleased()
 {
-    if (m_phase != phase::Answering || m_answerEnded || !m_wsi)
+    if (m_phase != phase::Responding || m_responseEnded || !m_wsi)
         return;
-    m_answerEnded = true;
+    m_responseEnded = true;
     m_truncated = true;
     queue({});
 }
@@ -258,13 +258,13 @@
     if (!m_wsi || !m_owner)
         return;
     const auto &options = m_owner->options();
-    if (!m_answerEnded && queuedBytes() > options.maxQueuedResponseBytes) {
+    if (!m_responseEnded && queuedBytes() > options.maxQueuedResponseBytes) {
         m_phase = phase::Refusing;
-        doom();
+        scheduleClose();
         return;
     }
-    if (m_phase == phase::Answering && m_tick == 0)
-        restartTick(options.idleTimeout);
+    if (m_phase == phase::Responding && m_timer == 0)
+        restartTimer(options.idleTimeout);
     lws_callback_on_writable(m_wsi);
 }
 
@@ -282,38 +282,38 @@
     const std::size_t room = allowance > 0 ? static_cast<std::size_t>(allowance) : 0;
     const std::size_t size = std::min({queuedBytes(), MaxFrameBytes, room});
     const bool rest = size < queuedBytes();
-    const bool last = m_answerEnded && !m_truncated && !rest && !m_noBody;
+    const bool last = m_responseEnded && !m_truncated && !rest && !m_noBody;
     if ((size > 0 || last) && !writePart(size, last))
         return -1;
     if (rest) {
-        // Without room, libwebsockets calls again when the peer grants some.
+        // With an empty flow-control window, libwebsockets calls again when the peer enlarges it.
         if (room > 0)
             lws_callback_on_writable(m_wsi);
         return 0;
     }
     m_out.clear();
     m_outBegin = 0;
-    if (m_phase == phase::Answering)
-        stopTick();
+    if (m_phase == phase::Responding)
+        stopTimer();
     const auto response = m_response.lock();
-    if (m_answerEnded) {
+    if (m_responseEnded) {
         if (response && !m_truncated)
-            response->sent();
+            response->onSent();
         return endStream();
     }
     if (response)
-        response->drained();
+        response->onQueueDrained();
     return 0;
 }
 
-// libwebsockets takes a frame for a stream that it has closed as a fault and ends the connection;
-// a caller that was still sending would find it reset before it has read why it was refused.
+// libwebsockets treats a frame for a closed stream as an error and closes the connection. A client
+// that is still sending would get a reset before it reads the refusal, so the stream stays open.
 int http2_stream::endStream()
 {
     if (m_phase != phase::Refusing || m_bodyEnded)
         return -1;
     m_phase = phase::Lingering;
-    restartTick(LingerTime);
+    restartTimer(LingerTime);
     return 0;
 }
 
@@ -336,7 +336,7 @@
     }
     if (lws_finalize_http_header(m_wsi, &next, end) != 0)
         return false;
-    const bool last = m_answerEnded && m_noBody;
+    const bool last = m_responseEnded && m_noBody;
     const auto kind = static_cast<lws_write_protocol>(
         last ? LWS_WRITE_HTTP_HEADERS | LWS_WRITE_H2_STREAM_END : LWS_WRITE_HTTP_HEADERS);
     const auto size = static_cast<std::size_t>(next - buffer.data());
@@ -352,54 +352,54 @@
     return lws_write(m_wsi, buffer.data(), size, last ? LWS_WRITE_HTTP_FINAL : LWS_WRITE_HTTP) >= 0;
 }
 
-void http2_stream::doom()
+void http2_stream::scheduleClose()
 {
-    m_doomed = true;
+    m_closeScheduled = true;
     closeSoon(m_wsi);
 }
 
-// More events may follow for the same stream, when this object is no more.
+// Unbinds the stream, because further events for it may follow after this object is destroyed.
 void http2_stream::onClose(lws *wsi)
 {
     lws_set_opaque_user_data(wsi, nullptr);
-    stopTick();
+    stopTimer();
     releaseBody();
     m_phase = phase::Closed;
     m_wsi = nullptr;
     m_owner = nullptr;
     if (const auto response = m_response.lock())
-        response->closed();
+        response->onConnectionClosed();
     if (const auto connection = m_connection.lock())
-        connection->forgetStream(*this);
+        connection->removeStream(*this);
 }
 
-void http2_stream::restartTick(std::chrono::milliseconds delay)
+void http2_stream::restartTimer(std::chrono::milliseconds delay)
 {
-    stopTick();
-    m_sentAtTick = m_sentTotal;
-    m_tick = m_loop.callAfter(delay, [this] {
+    stopTimer();
+    m_sentAtTimerStart = m_sentTotal;
+    m_timer = m_loop.callAfter(delay, [this] {
         const auto self = shared_from_this();
-        m_tick = 0;
-        onTick();
+        m_timer = 0;
+        onTimer();
     });
 }
 
-void http2_stream::stopTick()
+void http2_stream::stopTimer()
 {
-    if (m_tick != 0)
-        m_loop.cancelTimer(std::exchange(m_tick, 0));
+    if (m_timer != 0)
+        m_loop.cancelTimer(std::exchange(m_timer, 0));
 }
 
-void http2_stream::onTick()
+void http2_stream::onTimer()
 {
     if (!m_wsi || !m_owner)
         return;
     if (m_phase == phase::Body)
-        refuse(TooSlow);
-    else if (m_phase == phase::Answering && m_sentTotal != m_sentAtTick)
-        restartTick(m_owner->options().idleTimeout);
+        refuse(RequestTimeout);
+    else if (m_phase == phase::Responding && m_sentTotal != m_sentAtTimerStart)
+        restartTimer(m_owner->options().idleTimeout);
     else
-        doom();
+        scheduleClose();
 }
 
 } // namespace orchidlead::net
--- a/src/net/http2_stream.h
+++ b/src/net/http2_stream.h
@@ -14,19 +14,19 @@
 
 class server_connection;
 
-/// One request of a connection of HTTP/2, and its answer.
+/// One request on an HTTP/2 connection, and its response.
 class http2_stream final
     : public lws_endpoint
-    , public answer_sink
+    , public response_sink
     , public std::enable_shared_from_this<http2_stream>
 {
 public:
     http2_stream(lws_event_loop &loop, connection_owner &owner,
                  std::weak_ptr<server_connection> connection);
 
-    /// libwebsockets has opened the stream.
+    /// Binds this object to a stream that libwebsockets has opened.
     void start(lws *wsi);
-    /// Reports nothing more; the owner is being destroyed and the whole connection closed.
+    /// Stops all events; called when the owner is destroyed, which closes the whole connection.
     void detach();
 
     int onEvent(lws *wsi, lws_callback_reasons reason, void *in, std::size_t length) override;
@@ -35,17 +35,16 @@
     void sendHead(int status, const header_list &headers) override;
     void sendPart(std::string_view bytes) override;
     void sendEnd() override;
-    void dropped() override;
+    void onWriterReleased() override;
     [[nodiscard]] std::size_t queuedBytes() const override { return m_out.size() - m_outBegin; }
 
 private:
-    /// What the stream is doing.
     enum class phase {
         Head,
         Body,
-        Answering,
+        Responding,
         Refusing,
-        Lingering, ///< the refusal is out; drops what the caller still sends
+        Lingering, ///< the refusal was sent; discards further input
         Closed,
     };
 
@@ -58,41 +57,43 @@
     [[nodiscard]] bool writeHead();
     [[nodiscard]] bool writePart(std::size_t size, bool last);
     void onClose(lws *wsi);
-    void onTick();
+    void onTimer();
     void dispatch();
-    void refuse(const refusal &why);
+    void refuse(const refusal &cause);
     void setHead(int status, const header_list &headers, std::optional<std::size_t> length);
     void queue(std::string_view bytes);
-    void doom();
-    void restartTick(std::chrono::milliseconds delay);
-    void stopTick();
+    void scheduleClose();
+    void restartTimer(std::chrono::milliseconds delay);
+    void stopTimer();
     void releaseBody();
 
     lws_event_loop &m_loop;
-    connection_owner *m_owner; ///< null once that is destroyed
+    connection_owner *m_owner; ///< null once destroyed
     std::weak_ptr<server_connection> m_connection;
     lws *m_wsi = nullptr;
     phase m_phase = phase::Head;
-    bool m_bodyEnded = false; ///< the caller sends no more
-    bool m_doomed = false; ///< to be closed without another word
+    bool m_bodyEnded = false; ///< the whole body was received
+    bool m_closeScheduled = false; ///< nothing more is sent
 
     http_request m_request;
-    std::size_t m_bodyBytes = 0; ///< length that the head declares
-    std::size_t m_buffered = 0; ///< bytes of it that the owner counts
+    std::size_t m_bodyBytes = 0; ///< declared content length
+    std::size_t m_buffered = 0; ///< body bytes counted by the owner
 
     std::weak_ptr<connection_response> m_response;
-    std::optional<int> m_status; ///< of a head that is still to be sent
+    std::optional<int> m_status; ///< of a head not sent yet
     header_list m_headers;
-    std::string m_out; ///< bytes from `m_outBegin` wait to be sent
+    std::string m_out; ///< send queue, from `m_outBegin` on
     std::size_t m_outBegin = 0;
-    bool m_noBody = false; ///< the answer may have none: HEAD, 204, 304
-    std::optional<std::size_t> m_promised; ///< bytes still owed of a declared length
-    bool m_answerEnded = false;
-    bool m_truncated = false; ///< to be closed without its end, once the rest is sent
+    bool m_noBody = false; ///< HEAD, 204 or 304
+    /// Bytes of the declared response length that are not written yet.
+    std::optional<std::size_t> m_declaredBytesLeft;
+    bool m_responseEnded = false;
+    /// The response is incomplete: the stream is closed without END_STREAM after the queued bytes.
+    bool m_truncated = false;
 
-    timer_id m_tick = 0;
+    timer_id m_timer = 0;
     std::size_t m_sentTotal = 0;
-    std::size_t m_sentAtTick = 0;
+    std::size_t m_sentAtTimerStart = 0;
 };
 
 } // namespace orchidlead::net
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -22,11 +22,11 @@
 
 /// How a call ended.
 enum class call_end {
-    Complete, ///< a whole answer with a consistent length
-    NotSent, ///< no byte left this process
-    Broken, ///< bytes left, and the answer isn't whole
-    TimedOut, ///< as `Broken`, because of a timeout
-    TooLarge, ///< the answer passed its bound
+    Complete, ///< whole response of consistent length
+    NotSent, ///< no byte was sent
+    Broken, ///< bytes were sent; response incomplete
+    TimedOut, ///< as `Broken`, caused by a timeout
+    TooLarge, ///< the response exceeded its limit
 };
 
 /// One call to a server.
@@ -40,28 +40,30 @@
     std::chrono::milliseconds connectTimeout{1000};
     std::chrono::milliseconds timeout{10000}; ///< for the whole call
     std::size_t maxResponseBytes = 64U << 20U;
-    /// Whether the library may put it on a connection that was used before. It is a permission: at
-    /// present every call has a fresh connection. A kept connection may die under a call after
-    /// bytes left, so calls that may not be repeated never allow it.
+    /// Whether the library may reuse a connection for the call. This is only a permission:
+    /// currently every call opens a new connection. A reused connection may fail after bytes of the
+    /// call were sent, so calls that must not be repeated never allow it.
     bool reuseConnection = true;
-    /// Header fields (lower case) of the answer to report beside the registered ones.
+    /// Response header fields (lower case) to report in addition to the registered ones.
     std::vector<std::string> customHeaders{"x-request-id"};
-    /// Asked immediately before the first byte is sent; false: the call ends with `NotSent`.
+    /// Called immediately before the first byte is sent; if false, the call ends with `NotSent`.
     std::function<bool()> mayStillSend;
 };
 
-/// What a call reports. Each may be empty.
+/// Events of a call. Each function may be empty.
 struct call_events
 {
     std::function<void(int status, const header_list &headers)> onHead;
-    std::function<void(std::string_view bytes)> onBody; ///< parts, as they come
-    std::function<void(call_end end)> onEnd; ///< exactly once, last; not after `cancel`
+    std::function<void(std::string_view bytes)> onBody; ///< parts, as received
+    /// Called exactly once, as the last event; not called after `cancel`.
+    std::function<void(call_end end)> onEnd;
 };
 
 /// Makes HTTP/1.1 calls without blocking, each on a connection of its own. A call is never sent
 /// twice.
 ///
-/// Destroying it cancels its calls. It must go before the loop, as everything that is made with it.
+/// Its destructor cancels its calls. Like all objects created with a loop, it must be destroyed
+/// before the loop.
 class http_client
 {
 public:
@@ -69,9 +71,9 @@
     virtual ~http_client() = default;
 
     virtual call_id start(http_call call, call_events events) = 0;
-    /// Closes the call's connection; none of its events is reported any more.
+    /// Closes the call's connection; no event of the call is reported from now on.
     virtual void cancel(call_id call) = 0;
-    /// Stops or goes on reading the answer, for backpressure.
+    /// Pauses or resumes reading the response, for backpressure.
     virtual void setReading(call_id call, bool reading) = 0;
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 constexpr int MaxAcceptsPerEvent = 64;
-constexpr int MaxGonePerEvent = 64;
+constexpr int MaxClientClosesPerEvent = 64;
 
-/// Has libwebsockets watch one descriptor and calls a function when it is readable.
+/// Calls a function when a descriptor, watched by libwebsockets, is readable.
 class readable_watch final : public lws_endpoint
 {
 public:
@@ -32,7 +32,7 @@
     ~readable_watch() override
     {
         if (m_wsi)
-            abandon(m_wsi, m_insideEvent);
+            detachAndClose(m_wsi, m_insideEvent);
     }
     readable_watch(const readable_watch &) = delete;
     readable_watch &operator=(const readable_watch &) = delete;
@@ -68,7 +68,7 @@
 {
     const auto address = toKernelAddress(listen);
     if (!address)
-        return failure(net_error{"not an IP number: " + listen.ip});
+        return failure(net_error{"not an IP address: " + listen.ip});
     const int fd =
         ::socket(address->storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0)
@@ -82,8 +82,9 @@
     return failure(std::move(error));
 }
 
-// The listening socket is ours and accepted connections are handed to libwebsockets: its own
-// listener can't be closed without the connections, and it tells servers apart by port alone.
+// The server owns the listening socket and passes accepted connections to libwebsockets. A listener
+// of libwebsockets cannot be closed without its connections, and libwebsockets distinguishes
+// servers only by port.
 class http_server_impl final
     : public http_server
     , public connection_owner
@@ -94,7 +95,7 @@
         , m_options(std::move(options))
         , m_handler(std::move(handler))
         , m_listener(std::make_unique<readable_watch>([this] { acceptAll(); }))
-        , m_goneWatch([this] { noticeGone(); })
+        , m_clientCloseWatch([this] { onClientsClosed(); })
     { }
 
     ~http_server_impl() override
@@ -123,12 +124,12 @@
     }
     void releaseBody(std::size_t bytes) override { m_bufferedBytes -= bytes; }
     void handle(http_request &&request, response_ptr response) override;
-    void forget(server_connection &connection) override;
+    void removeConnection(server_connection &connection) override;
 
 private:
     void acceptAll();
     void admit(int fd);
-    void noticeGone();
+    void onClientsClosed();
 
     lws_event_loop &m_loop;
     http_server_options m_options;
@@ -139,19 +140,19 @@
     std::uint16_t m_port = 0;
     bool m_keepAlive = true;
 
-    /// Watches accepted sockets for callers that close their side.
-    readable_watch m_goneWatch;
-    int m_goneFd = -1;
+    /// Watches accepted sockets for clients that close their side.
+    readable_watch m_clientCloseWatch;
+    int m_clientCloseFd = -1;
     std::unordered_map<std::uint64_t, std::shared_ptr<server_connection>> m_connections;
     std::uint64_t m_lastId = 0;
-    std::size_t m_bufferedBytes = 0; ///< of bodies that are being received
+    std::size_t m_bufferedBytes = 0; ///< of bodies being received
 };
 
 result<void, net_error> http_server_impl::open()
 {
     if (m_options.maxHeaderBytes > MaxParsedHeaderBytes)
-        return failure(net_error{"request heads above " + std::to_string(MaxParsedHeaderBytes)
-                                 + " bytes aren't parsed"});
+        return failure(net_error{"maxHeaderBytes exceeds the limit of "
+                                 + std::to_string(MaxParsedHeaderBytes) + " bytes"});
     m_vhost = m_loop.plainVhost();
     if (!m_options.tlsCertificateFile.empty()) {
         auto vhost = m_loop.makeTlsVhost(m_options.tlsCertificateFile, m_options.tlsKeyFile,
@@ -160,21 +161,21 @@
             return failure(std::move(vhost).error());
         m_vhost = vhost.value();
     }
-    const int gone = ::epoll_create1(EPOLL_CLOEXEC);
-    if (gone < 0 || !m_goneWatch.adopt(m_loop, gone))
+    const int epollFd = ::epoll_create1(EPOLL_CLOEXEC);
+    if (epollFd < 0 || !m_clientCloseWatch.adopt(m_loop, epollFd))
         return failure(net_error{lastSystemError("epoll")});
-    m_goneFd = gone;
+    m_clientCloseFd = epollFd;
     const auto listener = bindListener(m_options.listen);
     if (!listener)
         return failure(listener.error());
     m_listenFd = listener.value();
     m_port = localAddress(m_listenFd).port;
     if (!m_listener->adopt(m_loop, m_listenFd))
-        return failure(net_error{"libwebsockets refused the listening socket"});
+        return failure(net_error{"libwebsockets could not adopt the listening socket"});
     return success();
 }
 
-// The shutdown ends the listening at once, also where libwebsockets closes the descriptor later.
+// The shutdown takes effect at once, even if libwebsockets closes the descriptor later.
 void http_server_impl::stopListening()
 {
     if (m_listenFd < 0)
@@ -189,7 +190,7 @@
     m_handler(std::move(request), std::move(response));
 }
 
-void http_server_impl::forget(server_connection &connection)
+void http_server_impl::removeConnection(server_connection &connection)
 {
     m_connections.erase(connection.id());
 }
@@ -200,7 +201,7 @@
         const int fd = ::accept4(m_listenFd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             if (i == 0)
-                m_loop.noteUselessEvent(); // out of descriptors: nothing gets better by hurrying
+                m_loop.markIdleEvent(); // out of descriptors: the loop may sleep
             return;
         }
         admit(fd);
@@ -210,7 +211,7 @@
 void http_server_impl::admit(int fd)
 {
     if (m_connections.size() >= m_options.maxConnections) {
-        const std::string text = refusalText(TooManyConnections);
+        const std::string text = refusalResponse(TooManyConnections);
         static_cast<void>(::send(fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL));
         ::close(fd);
         return;
@@ -221,7 +222,7 @@
     epoll_event watch{};
     watch.events = EPOLLRDHUP | EPOLLET;
     watch.data.u64 = id;
-    ::epoll_ctl(m_goneFd, EPOLL_CTL_ADD, fd, &watch);
+    ::epoll_ctl(m_clientCloseFd, EPOLL_CTL_ADD, fd, &watch);
     const bool tls = !m_options.tlsCertificateFile.empty();
     const auto connection = std::make_shared<server_connection>(m_loop, *this, id, fd, tls);
     m_connections.emplace(id, connection);
@@ -229,14 +230,14 @@
         m_connections.erase(id);
 }
 
-void http_server_impl::noticeGone()
+void http_server_impl::onClientsClosed()
 {
-    std::array<epoll_event, MaxGonePerEvent> events{};
-    const int count = ::epoll_wait(m_goneFd, events.data(), MaxGonePerEvent, 0);
+    std::array<epoll_event, MaxClientClosesPerEvent> events{};
+    const int count = ::epoll_wait(m_clientCloseFd, events.data(), MaxClientClosesPerEvent, 0);
     for (int i = 0; i < count; ++i) {
         const auto found = m_connections.find(events.at(static_cast<std::size_t>(i)).data.u64);
         if (found != m_connections.end())
-            found->second->callerGone();
+            found->second->onClientClosed();
     }
 }
 
--- a/src/net/lws_event_loop.h
+++ b/src/net/lws_event_loop.h
@@ -12,14 +12,14 @@
 
 namespace orchidlead::net {
 
-/// The one libwebsockets protocol, which every socket of the loop is bound to.
+/// The libwebsockets protocol that every socket of the loop is bound to.
 inline constexpr char ProtocolName[] = "orchidlead";
-/// Largest request or answer head that is parsed, in bytes; libwebsockets counts in 16 bits.
+/// Size limit of a request or response head; libwebsockets counts the size in 16 bits.
 inline constexpr std::size_t MaxParsedHeaderBytes = 60U << 10U;
-/// Bytes that are read from or written to a socket at once.
+/// Maximum size of one read from or write to a socket.
 inline constexpr std::size_t TransferBytes = 32U << 10U;
 
-/// The one implementation of `event_loop`; the other units of `net` reach libwebsockets through it.
+/// The only implementation of `event_loop`; the rest of `net` uses libwebsockets through it.
 class lws_event_loop final : public event_loop
 {
 public:
@@ -28,7 +28,7 @@
     lws_event_loop(const lws_event_loop &) = delete;
     lws_event_loop &operator=(const lws_event_loop &) = delete;
 
-    /// Makes the libwebsockets context and its plain vhost.
+    /// Creates the libwebsockets context and the vhost without TLS.
     [[nodiscard]] result<void, net_error> open();
 
     void run() override;
@@ -38,24 +38,24 @@
     void cancelTimer(timer_id timer) override;
     [[nodiscard]] lws_context *context() override { return m_context; }
 
-    /// The vhost of everything without TLS.
+    /// The vhost of all connections without TLS.
     [[nodiscard]] lws_vhost *plainVhost() { return m_plainVhost; }
-    /// Makes a vhost that accepts TLS; it lives as long as the loop.
+    /// Creates a vhost that accepts TLS; it exists until the loop is destroyed.
     [[nodiscard]] result<lws_vhost *, net_error>
     makeTlsVhost(const std::string &certificateFile, const std::string &keyFile, bool offerHttp2);
-    /// Has `endpoint` told with `LWS_CALLBACK_RAW_RX_FILE` when the descriptor becomes readable.
-    /// The descriptor then belongs to libwebsockets, which closes it.
+    /// Reports `LWS_CALLBACK_RAW_RX_FILE` to `endpoint` when the descriptor becomes readable.
+    /// Transfers ownership of the descriptor to libwebsockets, which closes it.
     [[nodiscard]] lws *adoptFile(int fd, lws_endpoint &endpoint);
 
-    /// Has libwebsockets serve HTTP on an accepted connection, which then belongs to it.
+    /// Serves HTTP on an accepted connection; transfers ownership of it to libwebsockets.
     [[nodiscard]] lws *adoptConnection(lws_vhost *vhost, int fd, lws_endpoint &endpoint);
 
-    /// A buffer of `TransferBytes`, with room for libwebsockets in front, that is free between
-    /// calls.
+    /// A shared buffer of `TransferBytes`, preceded by the space that libwebsockets needs. Its
+    /// contents are not preserved between calls.
     [[nodiscard]] std::span<unsigned char> scratch();
 
-    /// Notes an event that brought no progress, see `m_idleRounds`.
-    void noteUselessEvent() { m_progress = false; }
+    /// Marks the current event as one without progress, see `m_idleRounds`.
+    void markIdleEvent() { m_progress = false; }
 
 private:
     static int dispatch(lws *wsi, lws_callback_reasons reason, void *user, void *in,
@@ -67,11 +67,11 @@
     void runPosted();
     void runTimers();
     void scheduleTimers();
-    void restWhenSpinning();
+    void sleepIfSpinning();
     int deliver(lws_endpoint &endpoint, lws *wsi, lws_callback_reasons reason, void *in,
                 std::size_t length);
 
-    /// Lets the callback find the loop from the timer entry.
+    /// Timer entry from which the callback gets the loop.
     struct wakeup
     {
         lws_sorted_usec_list_t sul{};
@@ -82,14 +82,14 @@
     lws_vhost *m_plainVhost = nullptr;
     wakeup m_wakeup;
     timer_heap m_timers;
-    std::optional<steady_time> m_scheduled; ///< what `m_wakeup` waits for
+    std::optional<steady_time> m_scheduled; ///< when `m_wakeup` is due
     std::vector<unsigned char> m_scratch;
 
     std::atomic<bool> m_stopped{false};
     std::mutex m_postMutex;
-    std::vector<std::function<void()>> m_posted; ///< under `m_postMutex`
-    bool m_progress = false; ///< whether this round did something
-    int m_idleRounds = 0; ///< rounds in a row without progress
+    std::vector<std::function<void()>> m_posted; ///< guarded by `m_postMutex`
+    bool m_progress = false; ///< made in this iteration
+    int m_idleRounds = 0; ///< consecutive iterations without progress
 };
 
 /// Every `event_loop` is an `lws_event_loop`.
--- a/src/net/refusal.cpp
+++ b/src/net/refusal.cpp
@@ -10,23 +10,23 @@
 
 } // namespace
 
-std::string refusalBody(const refusal &why)
+std::string refusalBody(const refusal &cause)
 {
     std::string body = R"({"outcome":"not_run","reason":")";
-    return body.append(why.reason).append(R"(","detail":")").append(why.detail).append("\"}");
+    return body.append(cause.reason).append(R"(","detail":")").append(cause.detail).append("\"}");
 }
 
-std::string_view refusalRetryAfter(const refusal &why)
+std::string_view refusalRetryAfter(const refusal &cause)
 {
-    return why.status == Unavailable ? "1" : "";
+    return cause.status == Unavailable ? "1" : "";
 }
 
-std::string refusalText(const refusal &why)
+std::string refusalResponse(const refusal &cause)
 {
-    const std::string body = refusalBody(why);
-    const auto retryAfter = refusalRetryAfter(why);
-    std::string text = "HTTP/1.1 " + std::to_string(why.status) + " ";
-    text.append(statusText(why.status)).append("\r\ncontent-type: application/json\r\n");
+    const std::string body = refusalBody(cause);
+    const auto retryAfter = refusalRetryAfter(cause);
+    std::string text = "HTTP/1.1 " + std::to_string(cause.status) + " ";
+    text.append(statusText(cause.status)).append("\r\ncontent-type: application/json\r\n");
     if (!retryAfter.empty())
         text.append("retry-after: ").append(retryAfter).append("\r\n");
     text.append("content-length: ").append(std::to_string(body.size()));
--- a/src/net/refusal.h
+++ b/src/net/refusal.h
@@ -6,7 +6,7 @@
 
 namespace orchidlead::net {
 
-/// A refusal that the server makes by itself.
+/// A refusal that the server sends without calling the handler.
 struct refusal
 {
     int status;
@@ -15,27 +15,29 @@
 };
 
 inline constexpr refusal Malformed{400, "invalid_request", "the request is not well-formed HTTP"};
-inline constexpr refusal SentAhead{400, "invalid_request",
-                                   "a request with a body may not be sent ahead"};
-inline constexpr refusal TooSlow{408, "invalid_request", "the request did not arrive in time"};
-inline constexpr refusal NoLength{411, "invalid_request", "a request body needs a content-length"};
+inline constexpr refusal PipelinedBody{400, "invalid_request",
+                                       "a request with a body may not be sent ahead"};
+inline constexpr refusal RequestTimeout{408, "invalid_request",
+                                        "the request did not arrive in time"};
+inline constexpr refusal LengthRequired{411, "invalid_request",
+                                        "a request body needs a content-length"};
 inline constexpr refusal BodyTooLarge{413, "too_large", "the request body is too large"};
 inline constexpr refusal HeadTooLarge{431, "too_large", "the request head is too large"};
 inline constexpr refusal NoUpgrade{501, "invalid_request", "upgrades are not served"};
 inline constexpr refusal TooManyBytes{503, "overloaded", "too many request bodies are arriving"};
 inline constexpr refusal TooManyConnections{503, "overloaded", "too many connections"};
 
-/// How long a connection or stream that has been refused goes on dropping what its caller still
-/// sends. Closing at once would reset it, and the caller might lose the answer that says why.
+/// How long a refused connection or stream discards further input before it is closed. Closing it
+/// at once would reset it, and the client might lose the response with the reason.
 inline constexpr std::chrono::milliseconds LingerTime{1000};
 
-/// The body that callers expect of a refusal.
-[[nodiscard]] std::string refusalBody(const refusal &why);
+/// The response body of a refusal, in JSON.
+[[nodiscard]] std::string refusalBody(const refusal &cause);
 
-/// When a refused caller may come back, in seconds; empty where coming back doesn't help.
-[[nodiscard]] std::string_view refusalRetryAfter(const refusal &why);
+/// The `retry-after` value in seconds; empty if a retry would not help.
+[[nodiscard]] std::string_view refusalRetryAfter(const refusal &cause);
 
-/// A whole answer of HTTP/1.1 that refuses and closes.
-[[nodiscard]] std::string refusalText(const refusal &why);
+/// The whole HTTP/1.1 response of a refusal, which closes the connection.
+[[nodiscard]] std::string refusalResponse(const refusal &cause);
 
 } // namespace orchidlead::net
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -21,7 +21,7 @@
 {
     lws_token_indexes token;
     std::string_view name;
-    bool carriesBody; ///< libwebsockets waits for a body, whether or not a length was given
+    bool carriesBody; ///< libwebsockets expects a body even without a length
 };
 
 constexpr std::array MethodTokens{
@@ -42,9 +42,10 @@
     return found == MethodTokens.end() ? nullptr : found;
 }
 
-// Whether libwebsockets holds input that it has read but not parsed. It says so only by keeping its
-// header memory after a request, and by clearing the place of a copy only when it has that.
-bool holdsInput(lws *wsi)
+// Whether libwebsockets has read input that it has not parsed yet. It has no function for this, but
+// it keeps its header table after a request only in this case, and `lws_hdr_custom_copy` clears its
+// destination only if there is a header table.
+bool hasUnparsedInput(lws *wsi)
 {
     char probe = 'x';
     constexpr std::string_view Name = "x:";
@@ -61,8 +62,8 @@
     return info;
 }
 
-// Fields that the connection itself writes.
-bool isOwnField(std::string_view name)
+// Header fields that `writeHead` writes.
+bool isReservedField(std::string_view name)
 {
     return name == "content-length" || name == "transfer-encoding" || name == "connection";
 }
@@ -81,7 +82,7 @@
 void server_connection::start(lws *wsi)
 {
     m_wsi = wsi;
-    restartTick(m_owner->options().requestTimeout);
+    restartTimer(m_owner->options().requestTimeout);
 }
 
 void server_connection::detach()
@@ -90,17 +91,17 @@
         stream->detach();
     m_owner = nullptr;
     m_phase = phase::Closed;
-    stopTick();
+    stopTimer();
     if (auto *wsi = std::exchange(m_wsi, nullptr))
-        abandon(wsi, m_insideEvent);
+        detachAndClose(wsi, m_insideEvent);
 }
 
-// While a request is being answered, libwebsockets doesn't read from the connection of a request
-// without a body, so this is how the end of the caller is noticed. In the other phases it does.
-void server_connection::callerGone()
+// While a request without a body is being answered, libwebsockets does not read from its
+// connection, so it does not detect that the client has closed it. In the other phases it does.
+void server_connection::onClientClosed()
 {
-    if (m_phase == phase::Answering && m_wsi)
-        doom();
+    if (m_phase == phase::Responding && m_wsi)
+        scheduleClose();
 }
 
 int server_connection::onEvent(lws *wsi, lws_callback_reasons reason, void *in, std::size_t length)
@@ -150,29 +151,29 @@
     }
     if (outermost)
         m_insideEvent = false;
-    return m_wsi && !m_doomed ? result : -1;
+    return m_wsi && !m_closeScheduled ? result : -1;
 }
 
-// libwebsockets forgets the closing when it clears its own timeout, as it does at the end of a
-// body; so every later event asks for it again.
-void server_connection::doom()
+// libwebsockets cancels the scheduled close when it clears its own timeout, as it does at the end
+// of a body. So `onEvent` returns -1 for every later event.
+void server_connection::scheduleClose()
 {
-    m_doomed = true;
+    m_closeScheduled = true;
     closeSoon(m_wsi);
 }
 
 lws_endpoint *server_connection::adoptStream(lws *stream)
 {
-    if (!m_owner || m_doomed)
+    if (!m_owner || m_closeScheduled)
         return nullptr;
     m_http2 = true;
-    const auto made = std::make_shared<http2_stream>(m_loop, *m_owner, weak_from_this());
-    m_streams.emplace(made.get(), made);
-    made->start(stream);
-    return made.get();
+    const auto created = std::make_shared<http2_stream>(m_loop, *m_owner, weak_from_this());
+    m_streams.emplace(created.get(), created);
+    created->start(stream);
+    return created.get();
 }
 
-void server_connection::forgetStream(http2_stream &stream)
+void server_connection::removeStream(http2_stream &stream)
 {
     m_streams.erase(&stream);
 }
@@ -181,16 +182,16 @@
 {
     if (!m_owner)
         return -1;
-    if (const auto why = readHead()) {
-        // libwebsockets would take the head for the body that follows it.
-        if (m_sentAhead) {
-            refuseAndClose(*why);
+    if (const auto cause = readHead()) {
+        // libwebsockets would deliver the head of a pipelined request as its body.
+        if (m_pipelined) {
+            refuseAndClose(*cause);
             return -1;
         }
-        refuse(*why);
+        refuse(*cause);
         return 0;
     }
-    // The handler has as long as it wants; libwebsockets would count it as a slow body.
+    // Handlers have no time limit, but libwebsockets would apply its timeout for slow bodies.
     lws_set_timeout(m_wsi, NO_PENDING_TIMEOUT, 0);
     if (m_bodyBytes == 0) {
         dispatch();
@@ -198,8 +199,8 @@
     }
     m_phase = phase::Body;
     m_bodyUnread = true;
-    if (m_served)
-        restartTick(m_owner->options().requestTimeout);
+    if (m_servedBefore)
+        restartTimer(m_owner->options().requestTimeout);
     if (equalsIgnoringCase(copyHeader(m_wsi, WSI_TOKEN_HTTP_EXPECT), "100-continue"))
         queue("HTTP/1.1 100 Continue\r\n\r\n");
     return 0;
@@ -224,19 +225,20 @@
     const bool wantsClose = connection && equalsIgnoringCase(*connection, "close");
     const bool wantsOpen = connection && equalsIgnoringCase(*connection, "keep-alive");
     m_closeAfter = wantsClose || (m_http10 && !wantsOpen);
-    if (const auto why = readFraming())
-        return why;
+    if (const auto cause = readFraming())
+        return cause;
     if (headTooLarge())
         return HeadTooLarge;
     return std::nullopt;
 }
 
-// Without a length, libwebsockets takes a POST to be a body of 100 MB, and it knows no chunked
-// requests. The first is answered as a request without a body and then closed; the second refused.
+// libwebsockets assumes a body of 100 MB for a POST without a length, and does not support chunked
+// requests. The former is handled as a request without a body, and the connection is closed after
+// the response. The latter is refused.
 std::optional<refusal> server_connection::readFraming()
 {
     if (findHeader(m_request.headers, "transfer-encoding"))
-        return NoLength;
+        return LengthRequired;
     const auto length = findHeader(m_request.headers, "content-length");
     if (!length) {
         if (findMethod(m_wsi)->carriesBody)
@@ -251,15 +253,15 @@
         return BodyTooLarge;
     }
     m_bodyBytes = *bytes;
-    if (m_sentAhead && m_bodyBytes > 0)
-        return SentAhead;
+    if (m_pipelined && m_bodyBytes > 0)
+        return PipelinedBody;
     m_request.body.reserve(std::min<std::size_t>(m_bodyBytes, TransferBytes));
     return std::nullopt;
 }
 
-// Fields that aren't kept can't be counted, but everything that came since the last answer can: no
-// more than a body of the declared length may be among it beside the head. A caller that sends
-// requests ahead may thereby be refused for their sum.
+// Header fields that are not kept cannot be counted. Instead, all bytes received since the last
+// response are counted, and may exceed the declared body length by at most the limit of the head. A
+// client that pipelines requests may be refused for the sum of their sizes.
 bool server_connection::headTooLarge() const
 {
     const std::size_t kept =
@@ -284,13 +286,13 @@
     return 0;
 }
 
-// Also called, again and again, when a caller sends its next request before this one is answered.
+// Also called repeatedly while a pipelined request waits for the response to this one.
 int server_connection::onBodyComplete()
 {
     if (m_phase == phase::Lingering)
         return -1;
     if (m_phase != phase::Body || m_request.body.size() < m_bodyBytes) {
-        m_loop.noteUselessEvent();
+        m_loop.markIdleEvent();
         return 0;
     }
     m_bodyUnread = false;
@@ -300,8 +302,8 @@
 
 void server_connection::dispatch()
 {
-    m_phase = phase::Answering;
-    stopTick();
+    m_phase = phase::Responding;
+    stopTimer();
     const auto response = std::make_shared<connection_response>(weak_from_this());
     m_response = response;
     releaseBody();
@@ -316,30 +318,30 @@
         m_owner->releaseBody(bytes);
 }
 
-void server_connection::refuse(const refusal &why)
+void server_connection::refuse(const refusal &cause)
 {
     m_phase = phase::Refusing;
     m_closeAfter = true;
-    m_answerEnded = true;
+    m_responseEnded = true;
     releaseBody();
     m_request = {};
-    queue(refusalText(why));
+    queue(refusalResponse(cause));
 }
 
-// For connections that libwebsockets doesn't, or no longer, treat as HTTP: the text goes to the
-// kernel directly. Under TLS nothing can be said there.
-void server_connection::refuseAndClose(const refusal &why)
+// For connections that libwebsockets does not or no longer treat as HTTP: the response is written
+// to the socket directly. This is not possible over TLS.
+void server_connection::refuseAndClose(const refusal &cause)
 {
     m_phase = phase::Refusing;
     if (m_tls)
         return;
-    const std::string text = refusalText(why);
+    const std::string text = refusalResponse(cause);
     static_cast<void>(::send(m_fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL));
 }
 
-// libwebsockets closes a connection whose head it can't parse without a word; this is the last
-// callback before that. When it has answered by itself, as it does for forbidden paths, more bytes
-// were sent than we know of.
+// libwebsockets closes a connection without a response if it cannot parse the head; this is the
+// last callback before that. If libwebsockets has sent a response itself, as for forbidden paths,
+// the kernel counts more sent bytes than `m_sentTotal`.
 void server_connection::onUnparsedClose()
 {
     if (m_phase != phase::Head || m_headParsed || m_tls || !m_owner)
@@ -352,42 +354,42 @@
     refuseAndClose(headBytes > m_owner->options().maxHeaderBytes ? HeadTooLarge : Malformed);
 }
 
-// More events may follow for the same socket, when this object is no more.
+// Unbinds the socket, because further events for it may follow after this object is destroyed.
 void server_connection::onClose(lws *wsi)
 {
     lws_set_opaque_user_data(wsi, nullptr);
-    stopTick();
+    stopTimer();
     releaseBody();
     m_phase = phase::Closed;
     m_wsi = nullptr;
     if (const auto response = m_response.lock())
-        response->closed();
+        response->onConnectionClosed();
     if (auto *owner = std::exchange(m_owner, nullptr))
-        owner->forget(*this);
+        owner->removeConnection(*this);
 }
 
 void server_connection::sendWhole(int status, const header_list &headers, std::string_view body)
 {
-    if (m_phase != phase::Answering)
+    if (m_phase != phase::Responding)
         return;
     writeHead(status, headers, body.size());
-    m_promised.reset();
+    m_declaredBytesLeft.reset();
     m_chunked = false;
     if (!m_noBody)
         m_out.append(body);
-    m_answerEnded = true;
+    m_responseEnded = true;
     queue({});
 }
 
 void server_connection::sendHead(int status, const header_list &headers)
 {
-    if (m_phase != phase::Answering)
+    if (m_phase != phase::Responding)
         return;
     std::optional<std::size_t> length;
     if (const auto declared = findHeader(headers, "content-length"))
         length = parseLength(*declared);
     writeHead(status, headers, length);
-    m_promised = m_noBody ? std::nullopt : length;
+    m_declaredBytesLeft = m_noBody ? std::nullopt : length;
     m_chunked = !m_noBody && !length && !m_http10;
     queue({});
 }
@@ -402,7 +404,7 @@
     m_out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ");
     m_out.append(statusText(status)).append("\r\n");
     for (const auto &header : headers) {
-        if (isValidField(header) && !isOwnField(header.name))
+        if (isValidField(header) && !isReservedField(header.name))
             m_out.append(header.name).append(": ").append(header.value).append("\r\n");
     }
     if (length && !withoutLength)
@@ -418,11 +420,11 @@
 
 void server_connection::sendPart(std::string_view bytes)
 {
-    if (m_phase != phase::Answering || m_answerEnded || m_noBody)
+    if (m_phase != phase::Responding || m_responseEnded || m_noBody)
         return;
-    if (m_promised) {
-        bytes = bytes.substr(0, *m_promised);
-        *m_promised -= bytes.size();
+    if (m_declaredBytesLeft) {
+        bytes = bytes.substr(0, *m_declaredBytesLeft);
+        *m_declaredBytesLeft -= bytes.size();
     }
     if (!m_chunked) {
         queue(bytes);
@@ -437,38 +439,38 @@
 
 void server_connection::sendEnd()
 {
-    if (m_phase != phase::Answering || m_answerEnded)
+    if (m_phase != phase::Responding || m_responseEnded)
         return;
-    m_answerEnded = true;
-    if (m_promised && *m_promised > 0)
+    m_responseEnded = true;
+    if (m_declaredBytesLeft && *m_declaredBytesLeft > 0)
         m_truncated = true;
     queue(m_chunked ? "0\r\n\r\n" : "");
 }
 
-void server_connection::dropped()
+void server_connection::onWriterReleased()
 {
-    if (m_phase != phase::Answering || m_answerEnded || !m_wsi)
+    if (m_phase != phase::Responding || m_responseEnded || !m_wsi)
         return;
-    m_answerEnded = true;
+    m_responseEnded = true;
     m_truncated = true;
     queue({});
 }
 
-// Cuts off a reader that is too slow. A whole answer may be longer than the bound: it is as long as
-// whoever made it allowed.
+// Disconnects a client that reads too slowly. A whole response may exceed the limit, since the
+// handler determines its size.
 void server_connection::queue(std::string_view bytes)
 {
     m_out.append(bytes);
     if (!m_wsi || !m_owner)
         return;
     const auto &options = m_owner->options();
-    if (!m_answerEnded && queuedBytes() > options.maxQueuedResponseBytes) {
+    if (!m_responseEnded && queuedBytes() > options.maxQueuedResponseBytes) {
         m_phase = phase::Refusing;
-        doom();
+        scheduleClose();
         return;
     }
-    if (m_phase == phase::Answering && m_tick == 0)
-        restartTick(options.idleTimeout);
+    if (m_phase == phase::Responding && m_timer == 0)
+        restartTimer(options.idleTimeout);
     lws_callback_on_writable(m_wsi);
 }
 
@@ -484,28 +486,28 @@
         m_outBegin += size;
         m_sentTotal += size;
     }
-    // libwebsockets holds what the kernel didn't take.
+    // libwebsockets buffers the bytes that the kernel did not accept.
     if (queuedBytes() > 0 || lws_partial_buffered(m_wsi) != 0) {
         lws_callback_on_writable(m_wsi);
         return 0;
     }
     m_out.clear();
     m_outBegin = 0;
-    if (m_phase == phase::Answering)
-        stopTick();
-    if (m_answerEnded)
-        return finishAnswer();
+    if (m_phase == phase::Responding)
+        stopTimer();
+    if (m_responseEnded)
+        return finishResponse();
     if (const auto response = m_response.lock())
-        response->drained();
+        response->onQueueDrained();
     return 0;
 }
 
-int server_connection::finishAnswer()
+int server_connection::finishResponse()
 {
     if (m_truncated)
         return -1;
     if (const auto response = m_response.lock())
-        response->sent();
+        response->onSent();
     m_response.reset();
     if (!m_wsi)
         return -1;
@@ -513,14 +515,14 @@
         return -1;
     if (m_closeAfter) {
         m_phase = phase::Lingering;
-        restartTick(LingerTime);
+        restartTimer(LingerTime);
         if (!m_tls)
             ::shutdown(m_fd, SHUT_WR);
         return 0;
     }
     if (lws_http_transaction_completed(m_wsi) != 0)
         return -1;
-    m_sentAhead = holdsInput(m_wsi);
+    m_pipelined = hasUnparsedInput(m_wsi);
     prepareNextRequest();
     return 0;
 }
@@ -529,88 +531,89 @@
 {
     m_phase = phase::Head;
     m_headParsed = false;
-    m_served = true;
+    m_servedBefore = true;
     m_bodyBytes = 0;
     m_noBody = false;
     m_chunked = false;
-    m_promised.reset();
-    m_answerEnded = false;
-    m_partialSeen = false;
-    m_idle = {};
+    m_declaredBytesLeft.reset();
+    m_responseEnded = false;
+    m_partialHeadSeen = false;
+    m_idleTime = {};
     const auto info = readTcpInfo(m_fd);
     m_receivedBefore = info ? info->tcpi_bytes_received : 0;
     const auto &options = m_owner->options();
-    restartTick(std::min(options.requestTimeout, options.idleTimeout));
+    restartTimer(std::min(options.requestTimeout, options.idleTimeout));
 }
 
-void server_connection::restartTick(std::chrono::milliseconds delay)
+void server_connection::restartTimer(std::chrono::milliseconds delay)
 {
-    stopTick();
-    m_sentAtTick = m_sentTotal;
-    m_tick = m_loop.callAfter(delay, [this] {
-        m_tick = 0;
-        onTick(shared_from_this());
+    stopTimer();
+    m_sentAtTimerStart = m_sentTotal;
+    m_timer = m_loop.callAfter(delay, [this] {
+        m_timer = 0;
+        onTimer(shared_from_this());
     });
 }
 
-void server_connection::stopTick()
+void server_connection::stopTimer()
 {
-    if (m_tick != 0)
-        m_loop.cancelTimer(std::exchange(m_tick, 0));
+    if (m_timer != 0)
+        m_loop.cancelTimer(std::exchange(m_timer, 0));
 }
 
-void server_connection::onTick(const std::shared_ptr<server_connection> &self)
+void server_connection::onTimer(const std::shared_ptr<server_connection> &self)
 {
     if (!self->m_wsi || !self->m_owner)
         return;
     switch (m_phase) {
     case phase::Head:
-        onHeadTick();
+        onHeadTimer();
         break;
     case phase::Body:
-        refuse(TooSlow);
+        refuse(RequestTimeout);
         break;
-    case phase::Answering:
-        if (m_sentTotal == m_sentAtTick)
-            doom();
+    case phase::Responding:
+        if (m_sentTotal == m_sentAtTimerStart)
+            scheduleClose();
         else
-            restartTick(m_owner->options().idleTimeout);
+            restartTimer(m_owner->options().idleTimeout);
         break;
     case phase::Refusing:
     case phase::Lingering:
     case phase::Closed:
-        doom();
+        scheduleClose();
         break;
     }
 }
 
-// On a connection's first request the time ran from the start. Later it isn't known when the head's
-// first byte came, so a head that is still incomplete one tick later has had long enough.
-void server_connection::onHeadTick()
+// For the first request of a connection, the time limit starts when the connection is accepted. For
+// later requests the arrival time of the first byte is unknown, so a head times out if it is
+// incomplete at two consecutive checks.
+void server_connection::onHeadTimer()
 {
     const auto &options = m_owner->options();
     if (m_http2) {
-        m_idle = m_streams.empty() ? m_idle + options.requestTimeout : milliseconds{0};
-        if (m_idle >= options.idleTimeout)
-            doom();
+        m_idleTime = m_streams.empty() ? m_idleTime + options.requestTimeout : milliseconds{0};
+        if (m_idleTime >= options.idleTimeout)
+            scheduleClose();
         else
-            restartTick(options.requestTimeout);
+            restartTimer(options.requestTimeout);
         return;
     }
     const auto info = readTcpInfo(m_fd);
     const bool partial = info && info->tcpi_bytes_received > m_receivedBefore;
-    if (partial && (!m_served || std::exchange(m_partialSeen, true))) {
-        refuseAndClose(TooSlow);
-        doom();
+    if (partial && (!m_servedBefore || std::exchange(m_partialHeadSeen, true))) {
+        refuseAndClose(RequestTimeout);
+        scheduleClose();
         return;
     }
-    const auto tick = std::min(options.requestTimeout, options.idleTimeout);
-    m_idle += tick;
-    if (!partial && (!m_served || m_idle >= options.idleTimeout)) {
-        doom();
+    const auto interval = std::min(options.requestTimeout, options.idleTimeout);
+    m_idleTime += interval;
+    if (!partial && (!m_servedBefore || m_idleTime >= options.idleTimeout)) {
+        scheduleClose();
         return;
     }
-    restartTick(tick);
+    restartTimer(interval);
 }
 
 } // namespace orchidlead::net
--- a/src/net/timer_heap.cpp
+++ b/src/net/timer_heap.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Below this size the cancelled entries aren't worth a sweep.
+// Smaller heaps are not compacted, since it would not pay off.
 constexpr std::size_t MinCompactSize = 64;
 
 } // namespace
@@ -21,8 +21,8 @@
     return id;
 }
 
-// The entry stays in the heap until it comes up or until more than half of the heap is cancelled,
-// so that the usual timer, one that is cancelled long before it is due, costs no search.
+// The entry stays in the heap until it reaches the top or until more than half of the entries are
+// cancelled. Most timers are cancelled long before they are due, and this avoids a search for each.
 void timer_heap::cancel(timer_id timer)
 {
     if (m_tasks.erase(timer) == 0)
@@ -50,7 +50,7 @@
     return std::move(node.mapped());
 }
 
-// Timers of the same instant run in the order in which they were added.
+// Timers that are due at the same time run in the order in which they were added.
 bool timer_heap::later(const entry &a, const entry &b)
 {
     if (a.due != b.due)
--- a/src/net/timer_heap.h
+++ b/src/net/timer_heap.h
@@ -11,7 +11,7 @@
 
 namespace orchidlead::net {
 
-/// Keeps tasks by the time they are due. Adding costs O(log n), cancelling O(1) on average.
+/// A queue of tasks ordered by due time. Adding costs O(log n), cancelling O(1) on average.
 class timer_heap
 {
 public:
@@ -20,12 +20,12 @@
 
     /// When the next task is due.
     [[nodiscard]] std::optional<steady_time> next();
-    /// Takes out one task that is due by `now`; empty when there is none.
+    /// Removes and returns one task that is due by `now`; empty if there is none.
     [[nodiscard]] std::function<void()> takeDue(steady_time now);
 
-    /// Timers that have neither run nor been cancelled.
+    /// Number of timers that have neither run nor been cancelled.
     [[nodiscard]] std::size_t size() const { return m_tasks.size(); }
-    /// Entries held, those of cancelled timers included.
+    /// Number of heap entries, including those of cancelled timers.
     [[nodiscard]] std::size_t entries() const { return m_heap.size(); }
 
 private:
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Datagrams taken in one event, so that a flood leaves the other sockets their turn.
+// Datagrams received per event, so that a flood does not starve the other sockets.
 constexpr int MaxDatagramsPerEvent = 64;
 
-// libwebsockets' own UDP sockets take one datagram for each round and have room for IPv4 addresses
-// only, so the socket is ours and libwebsockets only says when it is readable.
+// UDP sockets of libwebsockets receive one datagram per loop iteration and support only IPv4
+// addresses. So this class owns the socket, and libwebsockets only reports when it is readable.
 class udp_socket_impl final
     : public udp_socket
     , private lws_endpoint
@@ -29,7 +29,7 @@
     ~udp_socket_impl() override
     {
         if (m_wsi)
-            abandon(m_wsi, m_insideEvent);
+            detachAndClose(m_wsi, m_insideEvent);
     }
 
     bool adopt()
@@ -62,18 +62,19 @@
         return 0;
     }
 
-    // The handler may destroy the socket, which then leaves `keep` as the only owner.
+    // The handler may destroy this object, which leaves `handlerOwner` as the only owner of the
+    // handler.
     void receive()
     {
-        const auto keep = m_handler;
+        const auto handlerOwner = m_handler;
         auto &loop = m_loop;
         const int fd = m_fd;
         m_insideEvent = true;
-        for (int i = 0; i < MaxDatagramsPerEvent && keep.use_count() > 1; ++i) {
-            if (!receiveOne(loop, fd, *keep))
+        for (int i = 0; i < MaxDatagramsPerEvent && handlerOwner.use_count() > 1; ++i) {
+            if (!receiveOne(loop, fd, *handlerOwner))
                 break;
         }
-        if (keep.use_count() > 1)
+        if (handlerOwner.use_count() > 1)
             m_insideEvent = false;
     }
 
@@ -87,7 +88,7 @@
         if (length < 0)
             return false;
         if (static_cast<std::size_t>(length) > buffer.size())
-            return true; // longer than anything that is sent here
+            return true; // longer than any datagram of this system
         const std::string bytes(reinterpret_cast<const char *>(buffer.data()),
                                 static_cast<std::size_t>(length));
         onDatagram(fromKernelAddress(from), bytes);
@@ -105,7 +106,7 @@
 {
     const auto address = toKernelAddress(bind);
     if (!address)
-        return failure(net_error{"not an IP number: " + bind.ip});
+        return failure(net_error{"not an IP address: " + bind.ip});
     const int fd =
         ::socket(address->storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0)
@@ -129,7 +130,7 @@
                                                     std::move(onDatagram));
     if (!socket->adopt()) {
         ::close(fd.value());
-        return failure(net_error{"libwebsockets refused the socket"});
+        return failure(net_error{"libwebsockets could not adopt the UDP socket"});
     }
     return success(std::unique_ptr<udp_socket>(std::move(socket)));
 }
--- a/src/net/udp_socket.h
+++ b/src/net/udp_socket.h
@@ -22,10 +22,10 @@
     create(event_loop &loop, const socket_address &bind, handler onDatagram);
     virtual ~udp_socket() = default;
 
-    /// The port that is bound; differs from the one asked for when that was 0.
+    /// The bound port; chosen by the system if port 0 was requested.
     [[nodiscard]] virtual std::uint16_t port() const = 0;
 
-    /// Hands one datagram to the kernel; a full buffer drops it, as the network may.
+    /// Passes one datagram to the kernel, which drops it if the send buffer is full.
     virtual void send(const socket_address &to, std::string_view bytes) = 0;
 };
 
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -21,7 +21,8 @@
 
 } // namespace
 
-TEST_CASE("Timers run in the order of their times, and of their adding where those are equal")
+TEST_CASE("Timers run in the order of their due times, and timers due at the same time in the "
+          "order added")
 {
     timer_heap heap;
     const orchidlead::steady_time start{std::chrono::hours{1}};
@@ -44,7 +45,7 @@
     CHECK(heap.size() == 1);
 }
 
-TEST_CASE("The loop runs timers, also those that a timer adds, but none that was cancelled")
+TEST_CASE("The loop runs timers, including those added by a timer, but not cancelled ones")
 {
     test_loop loop;
     std::string order;
@@ -67,7 +68,7 @@
     CHECK(order == "abc");
 }
 
-TEST_CASE("Cancelled timers don't pile up")
+TEST_CASE("Entries of cancelled timers do not accumulate in the heap")
 {
     timer_heap heap;
     const orchidlead::steady_time start{std::chrono::hours{1}};
@@ -89,7 +90,7 @@
     CHECK(run == 100);
 }
 
-TEST_CASE("Other threads hand over tasks, which run in order on the loop's thread")
+TEST_CASE("Tasks posted by another thread run in order on the thread of the loop")
 {
     test_loop loop;
     constexpr int Tasks = 1000;
@@ -125,7 +126,7 @@
     std::signal(SIGUSR1, before);
 }
 
-TEST_CASE("Datagrams go there and back")
+TEST_CASE("Datagrams are sent and received in both directions")
 {
     test_loop loop;
     std::unique_ptr<udp_socket> server;
@@ -152,7 +153,7 @@
     CHECK((got == sent));
 }
 
-TEST_CASE("A datagram socket may be destroyed by its own handler, and its port is free then")
+TEST_CASE("A UDP socket may be destroyed by its own handler, which frees its port")
 {
     test_loop loop;
     std::unique_ptr<udp_socket> socket;
@@ -175,7 +176,7 @@
     }));
 }
 
-TEST_CASE("An address that is taken is reported")
+TEST_CASE("Listening on an address in use returns an error")
 {
     test_loop loop;
     const auto server = serve(loop, [](http_request &&, const response_ptr &) {});
--- a/tests/net/http2_test.cpp
+++ b/tests/net/http2_test.cpp
@@ -35,7 +35,7 @@
     return result;
 }
 
-/// A server that offers HTTP/2, and curl as its caller.
+/// A server that offers HTTP/2, with curl as its client.
 class http2_fixture
 {
 public:
@@ -53,7 +53,7 @@
     {
         return "https://127.0.0.1:" + std::to_string(m_server->port()) + path;
     }
-    /// Runs curl in another thread and the loop in this one until curl has ended.
+    /// Runs curl in another thread, and the loop in this thread until curl exits.
     curl_result curl(const std::string &arguments)
     {
         curl_result result;
@@ -72,7 +72,7 @@
     std::unique_ptr<http_server> m_server;
 };
 
-std::string fileOf(const std::string &text)
+std::string writeTemporaryFile(const std::string &text)
 {
     std::string name = (std::filesystem::temp_directory_path() / "body-XXXXXX").string();
     const int fd = mkstemp(name.data());
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("Over HTTP/2, bodies are whole both ways")
+TEST_CASE("Over HTTP/2, request and response bodies arrive whole")
 {
     const auto size = GENERATE(std::size_t{0}, std::size_t{10}, std::size_t{200000});
     const auto answerSize = GENERATE(std::size_t{0}, std::size_t{10}, std::size_t{700000});
@@ -94,7 +94,7 @@
         response->respond(200, {{"content-type", "text/plain"}}, std::string(answerSize, 'y'));
     });
     const std::string body(size, 'x');
-    const std::string file = fileOf(body);
+    const std::string file = writeTemporaryFile(body);
 
     const auto got = fixture.curl("-w '%{http_version}' --data-binary @" + file + " '"
                                   + fixture.url("/run?a=1&b=2") + "'");
@@ -109,7 +109,7 @@
     CHECK((seen.body == body));
 }
 
-TEST_CASE("Over HTTP/2, an answer in parts arrives as it is written")
+TEST_CASE("Over HTTP/2, a response written in parts arrives in order")
 {
     test_loop *loop = nullptr;
     http2_fixture fixture([&](http_request &&, const response_ptr &response) {
@@ -130,7 +130,7 @@
     CHECK(got.output == "part 0\npart 1\npart 2\npart 3\npart 4\n");
 }
 
-TEST_CASE("Over HTTP/2, requests at once each get their own answer")
+TEST_CASE("Over HTTP/2, concurrent requests each get their own response")
 {
     test_loop *loop = nullptr;
     http2_fixture fixture([&](http_request &&request, const response_ptr &response) {
@@ -150,7 +150,7 @@
     CHECK(std::count(got.output.begin(), got.output.end(), '\n') == 60);
 }
 
-TEST_CASE("Over HTTP/2, a caller that goes away is noticed")
+TEST_CASE("Over HTTP/2, the disconnection of a client is reported once")
 {
     int closed = 0;
     response_ptr held;
@@ -170,18 +170,18 @@
     REQUIRE(held);
     CHECK(fixture.loop().runUntil([&] { return closed > 0; }));
     CHECK(closed == 1);
-    held->write("into the void");
+    held->write("after the end");
     held->finish();
     CHECK(fixture.loop().runUntil([&] { return fixture.server().connections() == 0; }));
 }
 
-TEST_CASE("Over HTTP/2, a body beyond the bound is refused")
+TEST_CASE("Over HTTP/2, a body that exceeds the limit is refused")
 {
     http_server_options options;
     options.maxBodyBytes = 1000;
     int handled = 0;
     http2_fixture fixture([&](http_request &&, const response_ptr &) { ++handled; }, options);
-    const std::string file = fileOf(std::string(3000000, 'x'));
+    const std::string file = writeTemporaryFile(std::string(3000000, 'x'));
 
     const auto got =
         fixture.curl("-w ' %{http_code}' --data-binary @" + file + " " + fixture.url("/run"));
@@ -192,7 +192,7 @@
     CHECK(handled == 0);
 }
 
-TEST_CASE("Over HTTP/2, an answer that ends early isn't taken for whole")
+TEST_CASE("Over HTTP/2, a client detects an incomplete response")
 {
     http2_fixture fixture([](http_request &&, const response_ptr &response) {
         response->begin(200, {});
@@ -204,19 +204,19 @@
     CHECK(got.exitCode != 0);
 }
 
-TEST_CASE("Over HTTP/2, a slow reader holds no more than the bound")
+TEST_CASE("Over HTTP/2, the queue for a slow reader stays within the limit")
 {
     http_server_options options;
     options.maxQueuedResponseBytes = 1U << 20U;
     test_loop *loop = nullptr;
     response_ptr held;
     bool closed = false;
-    std::size_t mostQueued = 0;
+    std::size_t maxQueuedBytes = 0;
     std::function<void()> produce = [&] {
         if (!held->open())
             return;
         held->write(std::string(1U << 16U, 'x'));
-        mostQueued = std::max(mostQueued, held->queuedBytes());
+        maxQueuedBytes = std::max(maxQueuedBytes, held->queuedBytes());
         (*loop)->callAfter(std::chrono::microseconds{100}, produce);
     };
     http2_fixture fixture(
@@ -234,5 +234,5 @@
 
     CHECK(got.exitCode != 0);
     CHECK(fixture.loop().runUntil([&] { return closed; }));
-    CHECK(mostQueued <= (1U << 20U) + (1U << 17U));
+    CHECK(maxQueuedBytes <= (1U << 20U) + (1U << 17U));
 }
--- a/tests/net/http_client_faults_test.cpp
+++ b/tests/net/http_client_faults_test.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// How a served connection ends.
-enum class ending { Close, Reset, StayOpen };
+/// How the test server ends a connection.
+enum class connection_end { Close, Reset, StayOpen };
 
-/// Answers one call with exactly these bytes.
-answer answerWith(const std::string &bytes, ending how, http_call call = {})
+/// Responds to one call with exactly these bytes.
+answer respondWith(const std::string &bytes, connection_end how, http_call call = {})
 {
     test_loop loop;
     raw_listener listener;
@@ -27,71 +27,75 @@
             if (auto accepted = listener.accept())
                 peer.emplace(std::move(*accepted));
         }
-        return peer && peer->got().find("\r\n\r\n") != std::string::npos;
+        return peer && peer->received().find("\r\n\r\n") != std::string::npos;
     }));
     peer->send(bytes);
-    if (how == ending::Reset)
+    if (how == connection_end::Reset)
         loop.runUntil([&] { return bytes.empty() || got.status != 0; });
-    if (how == ending::Reset)
+    if (how == connection_end::Reset)
         peer->reset();
-    if (how == ending::Close)
-        peer->hangUp();
+    if (how == connection_end::Close)
+        peer->disconnect();
     REQUIRE(loop.runUntil([&] { return got.end.has_value(); }));
     return got;
 }
 
-/// One way to answer, and the only truthful report of it.
-struct answer_case
+/// The bytes and the end of a response, and the result that the call must report.
+struct response_case
 {
     std::string bytes;
-    ending how;
+    connection_end how;
     call_end end;
 };
 
 } // namespace
 
-TEST_CASE("A call reports whether its answer is whole")
+TEST_CASE("A call reports whether its response is complete")
 {
     const std::string head = "HTTP/1.1 200 OK\r\n";
-    const auto given = GENERATE_COPY(values<answer_case>({
-        {"", ending::Close, call_end::Broken},
-        {"", ending::Reset, call_end::Broken},
-        {"", ending::StayOpen, call_end::TimedOut},
-        {"HTTP/1.1 20", ending::Close, call_end::Broken},
-        {"nonsense\r\n\r\n", ending::Close, call_end::Broken},
-        {head + "content-length: 3\r\n\r\nabc", ending::StayOpen, call_end::Complete},
-        {head + "content-length: 3\r\n\r\nab", ending::Close, call_end::Broken},
-        {head + "content-length: 3\r\n\r\nab", ending::Reset, call_end::Broken},
-        {head + "content-length: 3\r\n\r\nab", ending::StayOpen, call_end::TimedOut},
-        {head + "content-length: 0\r\n\r\n", ending::StayOpen, call_end::Complete},
-        {head + "content-length: x\r\n\r\n", ending::Close, call_end::Broken},
-        {head + "content-length: 3, 3\r\n\r\nabc", ending::Close, call_end::Broken},
-        {head + "content-length: 99999999999\r\n\r\nabc", ending::Close, call_end::TooLarge},
-        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", ending::StayOpen,
+    const auto given = GENERATE_COPY(values<response_case>({
+        {"", connection_end::Close, call_end::Broken},
+        {"", connection_end::Reset, call_end::Broken},
+        {"", connection_end::StayOpen, call_end::TimedOut},
+        {"HTTP/1.1 20", connection_end::Close, call_end::Broken},
+        {"nonsense\r\n\r\n", connection_end::Close, call_end::Broken},
+        {head + "content-length: 3\r\n\r\nabc", connection_end::StayOpen, call_end::Complete},
+        {head + "content-length: 3\r\n\r\nab", connection_end::Close, call_end::Broken},
+        {head + "content-length: 3\r\n\r\nab", connection_end::Reset, call_end::Broken},
+        {head + "content-length: 3\r\n\r\nab", connection_end::StayOpen, call_end::TimedOut},
+        {head + "content-length: 0\r\n\r\n", connection_end::StayOpen, call_end::Complete},
+        {head + "content-length: x\r\n\r\n", connection_end::Close, call_end::Broken},
+        {head + "content-length: 3, 3\r\n\r\nabc", connection_end::Close, call_end::Broken},
+        {head + "content-length: 99999999999\r\n\r\nabc", connection_end::Close,
+         call_end::TooLarge},
+        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", connection_end::StayOpen,
          call_end::Complete},
-        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", ending::Close,
+        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", connection_end::Close,
          call_end::Complete},
-        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", ending::Close, call_end::Broken},
-        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n", ending::Close,
+        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n", connection_end::Close,
          call_end::Broken},
-        {head + "transfer-encoding: chunked\r\n\r\n5\r\nabc", ending::Close, call_end::Broken},
-        {head + "transfer-encoding: chunked\r\n\r\nfffffff0\r\nabc", ending::Close,
+        {head + "transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n", connection_end::Close,
          call_end::Broken},
-        {head + "transfer-encoding: chunked\r\ncontent-length: 3\r\n\r\nabc", ending::Close,
+        {head + "transfer-encoding: chunked\r\n\r\n5\r\nabc", connection_end::Close,
          call_end::Broken},
-        {head + "transfer-encoding: gzip, chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", ending::Close,
+        {head + "transfer-encoding: chunked\r\n\r\nfffffff0\r\nabc", connection_end::Close,
+         call_end::Broken},
+        {head + "transfer-encoding: chunked\r\ncontent-length: 3\r\n\r\nabc", connection_end::Close,
+         call_end::Broken},
+        {head + "transfer-encoding: gzip, chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+         connection_end::Close, call_end::Broken},
+        {head + "\r\nabc", connection_end::Close, call_end::Complete},
+        {head + "\r\nabc", connection_end::Reset, call_end::Broken},
+        {"HTTP/1.1 304 Not Modified\r\n\r\n", connection_end::StayOpen, call_end::Complete},
+        {"HTTP/1.1 204 No Content\r\n\r\n", connection_end::StayOpen, call_end::Complete},
+        {"HTTP/1.1 302 Found\r\nlocation: /other\r\ncontent-length: 0\r\n\r\n",
+         connection_end::StayOpen, call_end::Complete},
+        {head + "x-long: " + std::string(70000, 'v') + "\r\n\r\n", connection_end::Close,
          call_end::Broken},
-        {head + "\r\nabc", ending::Close, call_end::Complete},
-        {head + "\r\nabc", ending::Reset, call_end::Broken},
-        {"HTTP/1.1 304 Not Modified\r\n\r\n", ending::StayOpen, call_end::Complete},
-        {"HTTP/1.1 204 No Content\r\n\r\n", ending::StayOpen, call_end::Complete},
-        {"HTTP/1.1 302 Found\r\nlocation: /other\r\ncontent-length: 0\r\n\r\n", ending::StayOpen,
-         call_end::Complete},
-        {head + "x-long: " + std::string(70000, 'v') + "\r\n\r\n", ending::Close, call_end::Broken},
     }));
     CAPTURE(given.bytes.substr(0, 200), static_cast<int>(given.how));
 
-    const auto got = answerWith(given.bytes, given.how);
+    const auto got = respondWith(given.bytes, given.how);
 
     CAPTURE(toName(*got.end));
     CHECK(*got.end == given.end);
@@ -99,7 +103,7 @@
         CHECK(got.body == "abc");
 }
 
-TEST_CASE("A call that can't be put into a head wasn't sent")
+TEST_CASE("A call that cannot be written as a request head ends as not sent")
 {
     test_loop loop;
     raw_listener listener;
@@ -124,28 +128,28 @@
     {
         call.headers = {{"a", std::string(60000, 'v')}};
     }
-    SECTION("not an address")
+    SECTION("not a numeric address")
     {
         call.address.ip = "localhost";
     }
 
     CHECK(callAndWait(loop, call).end == call_end::NotSent);
     if (auto peer = listener.accept())
-        CHECK(peer->got().empty());
+        CHECK(peer->received().empty());
 }
 
-TEST_CASE("A connection that isn't accepted in time carried nothing")
+TEST_CASE("A call whose connection times out ends as not sent")
 {
     test_loop loop;
     auto call = callTo(9);
-    // Reserved for documentation: nothing answers there, with or without a route.
+    // Reserved for documentation: no host answers at this address, with or without a route.
     call.address.ip = "192.0.2.1";
     call.connectTimeout = std::chrono::milliseconds{50};
 
     CHECK(callAndWait(loop, call).end == call_end::NotSent);
 }
 
-TEST_CASE("A server that closes while a large body is being sent breaks the call")
+TEST_CASE("A connection reset during a large request body ends the call as broken")
 {
     test_loop loop;
     raw_listener listener;
@@ -165,7 +169,7 @@
     CHECK(got.end == call_end::Broken);
 }
 
-TEST_CASE("A call may be cancelled from any of its events")
+TEST_CASE("A call may be cancelled in any of its events")
 {
     test_loop loop;
     const auto server = serve(loop, [&](http_request &&, const response_ptr &response) {
@@ -214,7 +218,7 @@
     CHECK(loop.runUntil([&] { return server->connections() == 0; }));
 }
 
-TEST_CASE("A client that is destroyed cancels its calls")
+TEST_CASE("The destructor of a client cancels its calls")
 {
     test_loop loop;
     int closed = 0;
--- a/tests/net/http_exchange_test.cpp
+++ b/tests/net/http_exchange_test.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Answers with the request's body.
+/// Responds with the body of the request.
 void echo(http_request &&request, const response_ptr &response)
 {
     response->respond(200, {{"content-type", "text/plain"}}, std::move(request.body));
 }
 
-std::string patternOf(std::size_t size)
+std::string makePattern(std::size_t size)
 {
     std::string text(size, ' ');
     for (std::size_t i = 0; i < size; ++i)
@@ -24,14 +24,14 @@
 
 } // namespace
 
-TEST_CASE("Bodies of every size come back whole")
+TEST_CASE("Bodies of different sizes arrive whole in both directions")
 {
     test_loop loop;
     const auto server = serve(loop, echo);
     const auto size = GENERATE(std::size_t{0}, std::size_t{1}, std::size_t{4096},
                                std::size_t{70000}, std::size_t{5000000});
     CAPTURE(size);
-    const std::string body = patternOf(size);
+    const std::string body = makePattern(size);
 
     const auto got = callAndWait(loop, callTo(server->port(), body));
 
@@ -43,7 +43,7 @@
     CHECK((got.body == body));
 }
 
-TEST_CASE("A handler sees method, path, query and headers")
+TEST_CASE("A handler receives method, path, query and headers")
 {
     test_loop loop;
     http_request seen;
@@ -74,7 +74,7 @@
     CHECK(findHeader(seen.headers, "content-type") == "application/json");
 }
 
-TEST_CASE("An answer that is written in parts arrives in order and whole")
+TEST_CASE("A response written in parts arrives whole and in order")
 {
     test_loop loop;
     const auto server = serve(loop, [&](http_request &&, const response_ptr &response) {
@@ -94,13 +94,13 @@
     CHECK(got.body == "part 0\npart 1\npart 2\npart 3\npart 4\n");
 }
 
-TEST_CASE("Many calls at once each get their own answer")
+TEST_CASE("Concurrent calls each get their own response")
 {
     constexpr std::size_t Calls = 1000;
     test_loop loop;
     const auto server = serve(loop, [&](http_request &&request, const response_ptr &response) {
         auto body = "answer to " + request.body;
-        // Answers out of order.
+        // Responds out of order.
         const std::chrono::microseconds delay{(body.size() * 7919 + body.back() * 131) % 5000};
         loop->callAfter(delay, [response, body] { response->respond(200, {}, body); });
     });
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_CASE("A call to a closed port wasn't sent")
+TEST_CASE("A call to a closed port ends as not sent")
 {
     test_loop loop;
     std::uint16_t port = 0;
@@ -141,7 +141,7 @@
     CHECK_FALSE(asked);
 }
 
-TEST_CASE("A call that may no longer be sent isn't")
+TEST_CASE("A call is not sent if mayStillSend returns false")
 {
     test_loop loop;
     int requests = 0;
@@ -159,7 +159,7 @@
     CHECK(requests == 0);
 }
 
-TEST_CASE("A call whose answer doesn't come in time may have been run")
+TEST_CASE("A call without a response in time ends as timed out")
 {
     test_loop loop;
     response_ptr held;
@@ -173,14 +173,14 @@
     CHECK(loop.runUntil([&] { return !held->open(); }));
 }
 
-TEST_CASE("An answer that ends early is broken")
+TEST_CASE("An incomplete response ends the call as broken")
 {
     test_loop loop;
     const bool declared = GENERATE(false, true);
     const bool finished = GENERATE(false, true);
     CAPTURE(declared, finished);
     if (!declared && finished)
-        return; // that is a whole answer
+        return; // a complete response
     const auto server = serve(loop, [&](http_request &&, const response_ptr &response) {
         const header_list length{{"content-length", "100"}};
         response->begin(200, declared ? length : header_list{});
@@ -198,7 +198,7 @@
     CHECK(*got.end == call_end::Broken);
 }
 
-TEST_CASE("A connection that is closed without an answer is broken")
+TEST_CASE("A connection closed without a response ends the call as broken")
 {
     test_loop loop;
     const auto server = serve(loop, [](http_request &&, const response_ptr &) {});
@@ -206,7 +206,7 @@
     CHECK(callAndWait(loop, callTo(server->port(), "x")).end == call_end::Broken);
 }
 
-TEST_CASE("A server learns that a caller went away")
+TEST_CASE("The disconnection of a client is reported once")
 {
     test_loop loop;
     const std::string method = GENERATE("GET", "POST");
@@ -233,12 +233,12 @@
     CHECK(closed == 1);
     CHECK_FALSE(held->open());
     CHECK_FALSE(got.end.has_value());
-    held->write("into the void");
+    held->write("after the end");
     held->finish();
     CHECK(loop.runUntil([&] { return server->connections() == 0; }));
 }
 
-TEST_CASE("An answer beyond its bound is cut off")
+TEST_CASE("A response that exceeds its limit ends the call as too large")
 {
     test_loop loop;
     const bool whole = GENERATE(false, true);
@@ -257,7 +257,7 @@
     CHECK(callAndWait(loop, call).end == call_end::TooLarge);
 }
 
-TEST_CASE("A caller that doesn't read holds no more than the bound")
+TEST_CASE("The queue for a client that does not read stays within the limit")
 {
     test_loop loop;
     constexpr std::size_t Bound = 1U << 20U;
@@ -265,12 +265,12 @@
     options.maxQueuedResponseBytes = Bound;
     response_ptr held;
     bool closed = false;
-    std::size_t mostQueued = 0;
+    std::size_t maxQueuedBytes = 0;
     std::function<void()> produce = [&] {
         if (!held->open())
             return;
         held->write(std::string(1U << 16U, 'x'));
-        mostQueued = std::max(mostQueued, held->queuedBytes());
+        maxQueuedBytes = std::max(maxQueuedBytes, held->queuedBytes());
         loop->callAfter(std::chrono::microseconds{10}, produce);
     };
     const auto server = serve(
@@ -290,14 +290,14 @@
     id = client->start(callTo(server->port(), "x"), events);
 
     CHECK(loop.runUntil([&] { return closed; }));
-    CHECK(mostQueued <= Bound + (1U << 17U));
+    CHECK(maxQueuedBytes <= Bound + (1U << 17U));
     CHECK(got.body.size() < (64U << 10U));
 }
 
-TEST_CASE("Reading goes on where it was stopped")
+TEST_CASE("Reading resumes where it was paused")
 {
     test_loop loop;
-    const std::string body = patternOf(3000000);
+    const std::string body = makePattern(3000000);
     const auto server = serve(loop, [&](http_request &&, const response_ptr &response) {
         response->respond(200, {}, body);
     });
--- a/tests/net/http_server_bounds_test.cpp
+++ b/tests/net/http_server_bounds_test.cpp
@@ -12,26 +12,26 @@
 
 using std::chrono::milliseconds;
 
-/// Answers with method, path and body.
+/// Responds with the method, path and body of the request.
 void describe(http_request &&request, const response_ptr &response)
 {
     response->respond(200, {}, request.method + " " + request.path + " " + request.body);
 }
 
-/// Sends the bytes one at a time, a few milliseconds apart, until they or the test end.
-class trickle
+/// Sends bytes one at a time, 10 ms apart, until all are sent or this object is destroyed.
+class slow_sender
 {
 public:
-    trickle(test_loop &loop, raw_peer &peer, std::string bytes)
+    slow_sender(test_loop &loop, raw_peer &peer, std::string bytes)
         : m_loop(loop)
         , m_peer(peer)
         , m_bytes(std::move(bytes))
     {
         next();
     }
-    ~trickle() { m_loop->cancelTimer(m_timer); }
-    trickle(const trickle &) = delete;
-    trickle &operator=(const trickle &) = delete;
+    ~slow_sender() { m_loop->cancelTimer(m_timer); }
+    slow_sender(const slow_sender &) = delete;
+    slow_sender &operator=(const slow_sender &) = delete;
 
 private:
     void next()
@@ -51,12 +51,12 @@
 
 bool hasBody(raw_peer &peer, const std::string &body)
 {
-    return peer.got().ends_with(body);
+    return peer.received().ends_with(body);
 }
 
 } // namespace
 
-TEST_CASE("A body beyond the bound is refused before it is sent")
+TEST_CASE("A body that exceeds the limit is refused before it is sent")
 {
     test_loop loop;
     http_server_options options;
@@ -68,14 +68,14 @@
 
     caller.send("POST /run HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\nfirst bytes");
 
-    REQUIRE(loop.runUntil([&] { return caller.got().ends_with("}"); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 413 "));
-    CHECK_THAT(caller.got(), Contains(R"("outcome":"not_run","reason":"too_large")"));
+    REQUIRE(loop.runUntil([&] { return caller.received().ends_with("}"); }));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 413 "));
+    CHECK_THAT(caller.received(), Contains(R"("outcome":"not_run","reason":"too_large")"));
     CHECK(handled == 0);
     CHECK(loop.runUntil([&] { return server->connections() == 0; }));
 }
 
-TEST_CASE("A caller that goes on sending a refused body is dropped")
+TEST_CASE("A client that keeps sending a refused body is disconnected")
 {
     test_loop loop;
     http_server_options options;
@@ -83,13 +83,14 @@
     const auto server = serve(loop, describe, options);
     raw_peer caller(server->port());
     caller.send("POST /run HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\n");
-    const trickle more(loop, caller, std::string(10000, 'x'));
+    const slow_sender more(loop, caller, std::string(10000, 'x'));
 
     CHECK(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 413 "));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 413 "));
 }
 
-TEST_CASE("Bodies that arrive together are bounded, and what was handed over counts no more")
+TEST_CASE(
+    "The total size of concurrent bodies is limited, and bodies passed to the handler do not count")
 {
     test_loop loop;
     http_server_options options;
@@ -104,26 +105,26 @@
     raw_peer second(server->port());
     second.send(head + std::string(599, 'b'));
 
-    // Whichever arrives later is refused.
+    // The body that exceeds the limit is refused; either may be the later one.
     REQUIRE(loop.runUntil([&] { return first.ended() || second.ended(); }));
     raw_peer &refused = first.ended() ? first : second;
     raw_peer &kept = first.ended() ? second : first;
-    CHECK_THAT(refused.got(), StartsWith("HTTP/1.1 503 "));
-    CHECK_THAT(refused.got(), Contains("retry-after: 1"));
-    CHECK(kept.got().empty());
+    CHECK_THAT(refused.received(), StartsWith("HTTP/1.1 503 "));
+    CHECK_THAT(refused.received(), Contains("retry-after: 1"));
+    CHECK(kept.received().empty());
     kept.send("x");
     REQUIRE(loop.runUntil([&] { return held.size() == 1; }));
     raw_peer third(server->port());
     third.send(head + std::string(300, 'c'));
     REQUIRE(loop.runUntil([&] { return server->connections() >= 2; }));
-    third.hangUp();
+    third.disconnect();
     REQUIRE(loop.runUntil([&] { return server->connections() == 1; }));
     raw_peer fourth(server->port());
     fourth.send(head + std::string(600, 'd'));
     CHECK(loop.runUntil([&] { return held.size() == 2; }));
 }
 
-TEST_CASE("A head beyond the bound is refused")
+TEST_CASE("A head that exceeds the limit is refused")
 {
     test_loop loop;
     http_server_options options;
@@ -138,11 +139,11 @@
                 + "\r\n\r\n");
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 431 "));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 431 "));
     CHECK(server->connections() == 0);
 }
 
-TEST_CASE("A head beyond what can be parsed ends its connection")
+TEST_CASE("A head too large to be parsed closes the connection")
 {
     test_loop loop;
     int handled = 0;
@@ -156,7 +157,7 @@
     CHECK(server->connections() == 0);
 }
 
-TEST_CASE("A caller that sends a byte at a time is refused when its time is up")
+TEST_CASE("A client that sends byte by byte is refused when the request times out")
 {
     test_loop loop;
     http_server_options options;
@@ -179,13 +180,13 @@
         REQUIRE(loop.runUntil([&] { return hasBody(caller, "GET /1 "); }));
         slow = "GET / HTTP/1.1\r\nx-long: " + std::string(5000, 'v');
     }
-    const trickle bytes(loop, caller, slow);
+    const slow_sender bytes(loop, caller, slow);
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), Contains("HTTP/1.1 408 "));
+    CHECK_THAT(caller.received(), Contains("HTTP/1.1 408 "));
 }
 
-TEST_CASE("A connection without a request is closed")
+TEST_CASE("An idle connection is closed without a response")
 {
     test_loop loop;
     http_server_options options;
@@ -199,10 +200,10 @@
     }
 
     CHECK(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), !Contains("408"));
+    CHECK_THAT(caller.received(), !Contains("408"));
 }
 
-TEST_CASE("A request that isn't HTTP is refused")
+TEST_CASE("A malformed request is refused")
 {
     test_loop loop;
     int handled = 0;
@@ -219,12 +220,12 @@
     caller.send(bytes);
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 40"));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 40"));
     CHECK(handled == 0);
     CHECK(server->connections() == 0);
 }
 
-TEST_CASE("A request in chunks is refused, since libwebsockets can't read it")
+TEST_CASE("A chunked request is refused, since libwebsockets does not support it")
 {
     test_loop loop;
     int handled = 0;
@@ -234,11 +235,11 @@
     caller.send("POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 411 "));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 411 "));
     CHECK(handled == 0);
 }
 
-TEST_CASE("A request without a length has no body")
+TEST_CASE("A request without a content length is handled without a body")
 {
     test_loop loop;
     const auto server = serve(loop, describe);
@@ -247,11 +248,11 @@
     caller.send("POST /drain HTTP/1.1\r\nhost: x\r\n\r\n");
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 200 "));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 200 "));
     CHECK(hasBody(caller, "POST /drain "));
 }
 
-TEST_CASE("An upgrade is refused")
+TEST_CASE("A protocol upgrade is refused")
 {
     test_loop loop;
     const auto server = serve(loop, describe);
@@ -261,23 +262,23 @@
     caller.send("GET / HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\nupgrade: " + to + "\r\n\r\n");
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), StartsWith("HTTP/1.1 501 "));
+    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 501 "));
 }
 
-TEST_CASE("A caller that waits to be told to send its body is told")
+TEST_CASE("A request with expect 100-continue gets an interim response")
 {
     test_loop loop;
     const auto server = serve(loop, describe);
     raw_peer caller(server->port());
 
     caller.send("POST /a HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n");
-    REQUIRE(loop.runUntil([&] { return caller.got() == "HTTP/1.1 100 Continue\r\n\r\n"; }));
+    REQUIRE(loop.runUntil([&] { return caller.received() == "HTTP/1.1 100 Continue\r\n\r\n"; }));
     caller.send("abc");
 
     CHECK(loop.runUntil([&] { return hasBody(caller, "POST /a abc"); }));
 }
 
-TEST_CASE("Connections beyond the bound are refused")
+TEST_CASE("Connections that exceed the limit are refused")
 {
     test_loop loop;
     http_server_options options;
@@ -290,18 +291,18 @@
     raw_peer third(server->port());
 
     REQUIRE(loop.runUntil([&] { return third.ended(); }));
-    CHECK_THAT(third.got(), StartsWith("HTTP/1.1 503 "));
-    first.hangUp();
+    CHECK_THAT(third.received(), StartsWith("HTTP/1.1 503 "));
+    first.disconnect();
     REQUIRE(loop.runUntil([&] { return server->connections() == 1; }));
     raw_peer fourth(server->port());
     fourth.send("GET /4 HTTP/1.1\r\n\r\n");
     CHECK(loop.runUntil([&] { return hasBody(fourth, "GET /4 "); }));
 }
 
-TEST_CASE("Requests sent ahead are answered in order, each with its own answer")
+TEST_CASE("Pipelined requests are answered in order, each with its own response")
 {
     test_loop loop;
-    // Later requests would be ready sooner.
+    // Later requests have shorter delays, so they would complete first if handled concurrently.
     int delay = 9;
     std::vector<std::string> seen;
     const auto server = serve(loop, [&](http_request &&request, const response_ptr &response) {
@@ -318,14 +319,14 @@
 
     REQUIRE(loop.runUntil([&] { return hasBody(caller, "</4>"); }));
     CHECK(seen == std::vector<std::string>{"/1", "/2", "/3", "/4"});
-    const auto &got = caller.got();
+    const auto &got = caller.received();
     CHECK(got.find("</1abc>") < got.find("</2>"));
     CHECK(got.find("</2>") < got.find("</3>"));
     CHECK(got.find("</3>") < got.find("</4>"));
 }
 
-// libwebsockets 4.1.6 hands out the start of such a request's own head as its body, and then loops.
-TEST_CASE("A request with a body that is sent ahead isn't handled")
+// libwebsockets 4.1.6 delivers the start of the head of such a request as its body, and then loops.
+TEST_CASE("A pipelined request with a body is refused")
 {
     test_loop loop;
     std::vector<std::string> seen;
@@ -341,11 +342,11 @@
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
     CHECK(seen == std::vector<std::string>{"/1 "});
-    CHECK_THAT(caller.got(), Contains("</1>"));
-    CHECK_THAT(caller.got(), Contains("HTTP/1.1 400 "));
+    CHECK_THAT(caller.received(), Contains("</1>"));
+    CHECK_THAT(caller.received(), Contains("HTTP/1.1 400 "));
 }
 
-TEST_CASE("A caller that goes away is noticed although it sent more")
+TEST_CASE("The disconnection of a client is detected although it has pipelined a request")
 {
     test_loop loop;
     bool closed = false;
@@ -361,12 +362,12 @@
     caller.send(first + "GET /2 HTTP/1.1\r\n\r\n");
     REQUIRE(loop.runUntil([&] { return held != nullptr; }));
 
-    caller.hangUp();
+    caller.disconnect();
 
     CHECK(loop.runUntil([&] { return closed; }));
 }
 
-TEST_CASE("A server that is told to stop closes each connection after its answer")
+TEST_CASE("A stopping server closes each connection after its response")
 {
     test_loop loop;
     const auto server = serve(loop, describe);
@@ -380,12 +381,12 @@
     caller.send("GET /2 HTTP/1.1\r\n\r\n");
 
     REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.got(), Contains("connection: close"));
+    CHECK_THAT(caller.received(), Contains("connection: close"));
     CHECK(hasBody(caller, "GET /2 "));
     CHECK(callAndWait(loop, callTo(server->port())).end == call_end::NotSent);
 }
 
-TEST_CASE("A server's port is free as soon as it is gone")
+TEST_CASE("The port of a server is free as soon as the server is destroyed")
 {
     test_loop loop;
     auto server = serve(loop, describe);
@@ -404,7 +405,7 @@
     CHECK(callAndWait(loop, callTo(port)).end == call_end::Complete);
 }
 
-TEST_CASE("Servers of one loop on the same port of two addresses don't mix")
+TEST_CASE("Servers of one loop on the same port of different addresses are independent")
 {
     test_loop loop;
     const auto first = serve(loop, [](http_request &&, const response_ptr &response) {
--- a/tests/net/net_test_support.h
+++ b/tests/net/net_test_support.h
@@ -15,10 +15,10 @@
 
 namespace orchidlead::net {
 
-/// Ends a test that hangs; never a measure of anything.
-inline constexpr std::chrono::seconds TestPatience{20};
+/// Time limit of a test that hangs.
+inline constexpr std::chrono::seconds TestTimeout{20};
 
-/// A loop that can be run until something has happened.
+/// An event loop that can be run until a condition holds.
 class test_loop
 {
 public:
@@ -29,11 +29,11 @@
     event_loop &operator*() { return *m_loop; }
     event_loop *operator->() { return m_loop.get(); }
 
-    /// Runs until `stop` is called; false when that took too long.
+    /// Runs until `stop` is called; returns false after a time-out.
     bool run()
     {
         bool late = false;
-        const auto guard = m_loop->callAfter(TestPatience, [this, &late] {
+        const auto guard = m_loop->callAfter(TestTimeout, [this, &late] {
             late = true;
             m_loop->stop();
         });
@@ -42,25 +42,24 @@
         return !late;
     }
 
-    /// Runs for a while.
     void runFor(std::chrono::milliseconds time)
     {
         m_loop->callAfter(time, [this] { m_loop->stop(); });
         m_loop->run();
     }
 
-    /// Runs until `done` holds; looks after each short interval.
+    /// Runs until `done` returns true, which is checked every 2 ms; returns false after a time-out.
     bool runUntil(const std::function<bool()> &done)
     {
         bool reached = false;
-        std::function<void()> look = [&] {
+        std::function<void()> check = [&] {
             reached = done();
             if (reached)
                 m_loop->stop();
             else
-                m_loop->callAfter(std::chrono::milliseconds{2}, look);
+                m_loop->callAfter(std::chrono::milliseconds{2}, check);
         };
-        const auto first = m_loop->callAfter(std::chrono::milliseconds{0}, look);
+        const auto first = m_loop->callAfter(std::chrono::milliseconds{0}, check);
         run();
         m_loop->cancelTimer(first);
         return reached;
@@ -70,7 +69,7 @@
     std::unique_ptr<event_loop> m_loop;
 };
 
-/// What one call has reported.
+/// The events reported by one call.
 struct answer
 {
     int status = 0;
@@ -79,7 +78,7 @@
     std::optional<call_end> end;
 };
 
-/// Has `into` filled by the events of a call, and `whenEnded` called at its end.
+/// Returns events that fill `into`, and call `whenEnded` at the end of the call.
 inline call_events collect(answer &into, std::function<void()> whenEnded = {})
 {
     call_events events;
@@ -97,7 +96,7 @@
     return events;
 }
 
-/// Makes a server on a loopback port that the system picks.
+/// Creates a server on a loopback port chosen by the system.
 inline std::unique_ptr<http_server> serve(test_loop &loop, http_handler handler,
                                           http_server_options options = {})
 {
--- a/tests/net/raw_peer.h
+++ b/tests/net/raw_peer.h
@@ -13,7 +13,7 @@
 
 namespace orchidlead::net {
 
-/// A TCP connection that sends exactly the bytes that it is told to.
+/// A TCP connection on which the test sends and receives raw bytes.
 class raw_peer
 {
 public:
@@ -25,12 +25,12 @@
         const int connected = ::connect(m_fd, address->get(), address->length);
         REQUIRE(connected == 0);
     }
-    /// Takes a connection that was accepted.
+    /// Takes ownership of an accepted connection.
     static raw_peer accepted(int fd) { return raw_peer(adopted{}, fd); }
-    ~raw_peer() { hangUp(); }
+    ~raw_peer() { disconnect(); }
     raw_peer(raw_peer &&other) noexcept
         : m_fd(std::exchange(other.m_fd, -1))
-        , m_got(std::move(other.m_got))
+        , m_received(std::move(other.m_received))
         , m_ended(other.m_ended)
     { }
     raw_peer(const raw_peer &) = delete;
@@ -41,38 +41,38 @@
         const auto sent = ::send(m_fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
         m_refused = sent < 0;
     }
-    void hangUp()
+    void disconnect()
     {
         if (m_fd >= 0)
             ::close(std::exchange(m_fd, -1));
     }
-    /// Closes with a reset instead of an orderly end.
+    /// Closes the connection with a reset.
     void reset()
     {
         const linger now{1, 0};
         ::setsockopt(m_fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
-        hangUp();
+        disconnect();
     }
 
-    /// Everything received so far.
-    const std::string &got()
+    /// Returns all bytes received so far.
+    const std::string &received()
     {
         std::array<char, 65536> buffer{};
         for (;;) {
             const auto n = ::recv(m_fd, buffer.data(), buffer.size(), MSG_DONTWAIT);
             if (n > 0) {
-                m_got.append(buffer.data(), static_cast<std::size_t>(n));
+                m_received.append(buffer.data(), static_cast<std::size_t>(n));
                 continue;
             }
             if (n == 0 || errno != EAGAIN)
                 m_ended = true;
-            return m_got;
+            return m_received;
         }
     }
-    /// Whether the other side has closed.
+    /// Whether the peer has closed the connection.
     bool ended()
     {
-        got();
+        received();
         return m_ended;
     }
 
@@ -84,12 +84,12 @@
     { }
 
     int m_fd;
-    std::string m_got;
+    std::string m_received;
     bool m_ended = false;
     bool m_refused = false;
 };
 
-/// A listening socket whose connections the test serves by hand.
+/// A listening socket whose connections are served by the test as raw bytes.
 class raw_listener
 {
 public:
@@ -108,7 +108,7 @@
 
     [[nodiscard]] std::uint16_t port() const { return localAddress(m_fd).port; }
 
-    /// Takes one connection, if there is one.
+    /// Accepts one connection, if one is pending.
     std::optional<raw_peer> accept()
     {
         const int fd = ::accept4(m_fd, nullptr, nullptr, SOCK_CLOEXEC);
--- a/tests/net/test_certificate.h
+++ b/tests/net/test_certificate.h
@@ -12,7 +12,7 @@
 
 namespace orchidlead::net {
 
-/// A self-signed certificate with its key, in files that last as long as this.
+/// A self-signed certificate and its key, in temporary files deleted by the destructor.
 class test_certificate
 {
 public:
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-struct tls_answer
+struct tls_response
 {
-    std::string protocol; ///< agreed on by ALPN
+    std::string protocol; ///< negotiated by ALPN
     std::string text;
 };
 
-/// Sends a request over TLS and reads to the end; blocks, so it has a thread of its own.
-tls_answer askOverTls(std::uint16_t port, const std::string &request)
+/// Sends a request over TLS and reads the whole response. Blocks, so it needs its own thread.
+tls_response requestOverTls(std::uint16_t port, const std::string &request)
 {
     SSL_CTX *context = SSL_CTX_new(TLS_client_method());
     SSL *ssl = SSL_new(context);
@@ -29,7 +29,7 @@
                         static_cast<unsigned>(offered.size()));
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     const auto address = toKernelAddress({"127.0.0.1", port});
-    tls_answer answer;
+    tls_response answer;
     if (::connect(fd, address->get(), address->length) == 0 && SSL_set_fd(ssl, fd) == 1
         && SSL_connect(ssl) == 1) {
         const unsigned char *name = nullptr;
@@ -49,9 +49,9 @@
 
 } // namespace
 
-// HTTP/2 isn't offered: with it libwebsockets 4.1.6 drops the fields that it doesn't know, and a
-// call that may not be repeated would lose its idempotency key without a word.
-TEST_CASE("Over TLS, requests and answers are whole, and no field is lost")
+// HTTP/2 is not offered: over HTTP/2, libwebsockets 4.1.6 silently drops header fields that it does
+// not recognise, so a call that must not be repeated would lose its idempotency key.
+TEST_CASE("Over TLS, requests and responses arrive whole with all header fields")
 {
     test_loop loop;
     const test_certificate certificate;
@@ -73,9 +73,9 @@
     const std::string request = "POST /run HTTP/1.1\r\nhost: x\r\nidempotency-key: k-1\r\n"
                                 "connection: close\r\ncontent-length: 200000\r\n\r\n"
         + body;
-    tls_answer got;
+    tls_response got;
     std::thread caller([&] {
-        got = askOverTls(server->port(), request);
+        got = requestOverTls(server->port(), request);
         loop->post([&] { loop->stop(); });
     });
     const bool ended = loop.run();
@@ -90,7 +90,7 @@
     CHECK((seen.body == body));
 }
 
-TEST_CASE("A server without its certificate isn't made")
+TEST_CASE("A server with a missing certificate file is not created")
 {
     test_loop loop;
     http_server_options options;
@@ -104,7 +104,7 @@
     CHECK_THAT(server.error().what, Catch::Matchers::Contains("certificate.pem"));
 }
 
-TEST_CASE("A caller that speaks no TLS to a TLS server is closed")
+TEST_CASE("A TLS server closes connections of clients without TLS")
 {
     test_loop loop;
     const test_certificate certificate;
