--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -79,7 +79,7 @@
 
 // Every call opens a new connection. With connection reuse (LCCSCF_PIPELINE), libwebsockets may
 // move a queued call to another connection when the first one fails, which would send it twice. If
-// the server closes a reused connection, the client also cannot tell whether it received the call.
+// the server closes a reused connection, the client also cannot tell whether the call was received.
 void client_call::connect()
 {
     const std::string host = toHostField(m_call.address);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -81,7 +81,7 @@
     std::size_t maxHeaderBytes = 16U << 10U; ///< 431; above 60 KiB: closed
     std::size_t maxConnections = 4096; ///< 503, then closed
     std::chrono::milliseconds requestTimeout{15000}; ///< to receive a whole request; 408
-    std::chrono::milliseconds idleTimeout{60000}; ///< of keep-alive connections
+    std::chrono::milliseconds idleTimeout{60000}; ///< of connections without a request
     /// A client that reads so slowly that more bytes are queued is disconnected.
     std::size_t maxQueuedResponseBytes = 64U << 20U;
     std::string tlsCertificateFile; ///< PEM; empty: no TLS
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -96,8 +96,8 @@
         detachAndClose(wsi, m_insideEvent);
 }
 
-// While a request without a body is being answered, libwebsockets does not read from its
-// connection, so it does not detect that the client has closed it. In the other phases it does.
+// While a request without a body is being answered, libwebsockets does not read from its connection
+// and cannot detect that the client has closed it. In the other phases it can.
 void server_connection::onClientClosed()
 {
     if (m_phase == phase::Responding && m_wsi)
--- a/tests/net/http2_test.cpp
+++ b/tests/net/http2_test.cpp
@@ -57,12 +57,12 @@
     curl_result curl(const std::string &arguments)
     {
         curl_result result;
-        std::thread caller([&] {
+        std::thread client([&] {
             result = runCurl(arguments);
             m_loop->post([this] { m_loop->stop(); });
         });
         m_loop.run();
-        caller.join();
+        client.join();
         return result;
     }
 
--- a/tests/net/http_server_bounds_test.cpp
+++ b/tests/net/http_server_bounds_test.cpp
@@ -64,13 +64,13 @@
     int handled = 0;
     const auto server = serve(
         loop, [&](http_request &&, const response_ptr &) { ++handled; }, options);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("POST /run HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\nfirst bytes");
+    client.send("POST /run HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\nfirst bytes");
 
-    REQUIRE(loop.runUntil([&] { return caller.received().ends_with("}"); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 413 "));
-    CHECK_THAT(caller.received(), Contains(R"("outcome":"not_run","reason":"too_large")"));
+    REQUIRE(loop.runUntil([&] { return client.received().ends_with("}"); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 413 "));
+    CHECK_THAT(client.received(), Contains(R"("outcome":"not_run","reason":"too_large")"));
     CHECK(handled == 0);
     CHECK(loop.runUntil([&] { return server->connections() == 0; }));
 }
@@ -81,12 +81,12 @@
     http_server_options options;
     options.maxBodyBytes = 1000;
     const auto server = serve(loop, describe, options);
-    raw_peer caller(server->port());
-    caller.send("POST /run HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\n");
-    const slow_sender more(loop, caller, std::string(10000, 'x'));
+    raw_peer client(server->port());
+    client.send("POST /run HTTP/1.1\r\nhost: x\r\ncontent-length: 100000000\r\n\r\n");
+    const slow_sender more(loop, client, std::string(10000, 'x'));
 
-    CHECK(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 413 "));
+    CHECK(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 413 "));
 }
 
 TEST_CASE(
@@ -133,13 +133,13 @@
     const std::string name = GENERATE("cookie", "x-unheard-of", "x-request-id");
     CAPTURE(size, name);
     const auto server = serve(loop, describe, options);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("GET / HTTP/1.1\r\nhost: x\r\n" + name + ": " + std::string(size, 'v')
+    client.send("GET / HTTP/1.1\r\nhost: x\r\n" + name + ": " + std::string(size, 'v')
                 + "\r\n\r\n");
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 431 "));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 431 "));
     CHECK(server->connections() == 0);
 }
 
@@ -148,11 +148,11 @@
     test_loop loop;
     int handled = 0;
     const auto server = serve(loop, [&](http_request &&, const response_ptr &) { ++handled; });
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("GET / HTTP/1.1\r\nhost: x\r\ncookie: " + std::string(100000, 'v'));
+    client.send("GET / HTTP/1.1\r\nhost: x\r\ncookie: " + std::string(100000, 'v'));
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
     CHECK(handled == 0);
     CHECK(server->connections() == 0);
 }
@@ -163,7 +163,7 @@
     http_server_options options;
     options.requestTimeout = milliseconds{500};
     const auto server = serve(loop, describe, options);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
     std::string slow;
     SECTION("in the head")
     {
@@ -171,19 +171,19 @@
     }
     SECTION("in the body")
     {
-        caller.send("POST / HTTP/1.1\r\ncontent-length: 5000\r\n\r\n");
+        client.send("POST / HTTP/1.1\r\ncontent-length: 5000\r\n\r\n");
         slow = std::string(5000, 'b');
     }
     SECTION("in its second request")
     {
-        caller.send("GET /1 HTTP/1.1\r\n\r\n");
-        REQUIRE(loop.runUntil([&] { return hasBody(caller, "GET /1 "); }));
+        client.send("GET /1 HTTP/1.1\r\n\r\n");
+        REQUIRE(loop.runUntil([&] { return hasBody(client, "GET /1 "); }));
         slow = "GET / HTTP/1.1\r\nx-long: " + std::string(5000, 'v');
     }
-    const slow_sender bytes(loop, caller, slow);
+    const slow_sender bytes(loop, client, slow);
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), Contains("HTTP/1.1 408 "));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), Contains("HTTP/1.1 408 "));
 }
 
 TEST_CASE("An idle connection is closed without a response")
@@ -193,14 +193,14 @@
     options.requestTimeout = milliseconds{300};
     options.idleTimeout = milliseconds{600};
     const auto server = serve(loop, describe, options);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
     if (GENERATE(false, true)) {
-        caller.send("GET /1 HTTP/1.1\r\n\r\n");
-        REQUIRE(loop.runUntil([&] { return hasBody(caller, "GET /1 "); }));
+        client.send("GET /1 HTTP/1.1\r\n\r\n");
+        REQUIRE(loop.runUntil([&] { return hasBody(client, "GET /1 "); }));
     }
 
-    CHECK(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), !Contains("408"));
+    CHECK(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), !Contains("408"));
 }
 
 TEST_CASE("A malformed request is refused")
@@ -215,12 +215,12 @@
         "POST / HTTP/1.1\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc",
         "CONNECT x:1 HTTP/1.1\r\n\r\n");
     CAPTURE(bytes);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send(bytes);
+    client.send(bytes);
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 40"));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 40"));
     CHECK(handled == 0);
     CHECK(server->connections() == 0);
 }
@@ -230,12 +230,12 @@
     test_loop loop;
     int handled = 0;
     const auto server = serve(loop, [&](http_request &&, const response_ptr &) { ++handled; });
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
+    client.send("POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 411 "));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 411 "));
     CHECK(handled == 0);
 }
 
@@ -243,13 +243,13 @@
 {
     test_loop loop;
     const auto server = serve(loop, describe);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("POST /drain HTTP/1.1\r\nhost: x\r\n\r\n");
+    client.send("POST /drain HTTP/1.1\r\nhost: x\r\n\r\n");
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 200 "));
-    CHECK(hasBody(caller, "POST /drain "));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 200 "));
+    CHECK(hasBody(client, "POST /drain "));
 }
 
 TEST_CASE("A protocol upgrade is refused")
@@ -257,25 +257,25 @@
     test_loop loop;
     const auto server = serve(loop, describe);
     const std::string to = GENERATE("websocket", "h2c");
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("GET / HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\nupgrade: " + to + "\r\n\r\n");
+    client.send("GET / HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\nupgrade: " + to + "\r\n\r\n");
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), StartsWith("HTTP/1.1 501 "));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), StartsWith("HTTP/1.1 501 "));
 }
 
 TEST_CASE("A request with expect 100-continue gets an interim response")
 {
     test_loop loop;
     const auto server = serve(loop, describe);
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("POST /a HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n");
-    REQUIRE(loop.runUntil([&] { return caller.received() == "HTTP/1.1 100 Continue\r\n\r\n"; }));
-    caller.send("abc");
+    client.send("POST /a HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 3\r\n\r\n");
+    REQUIRE(loop.runUntil([&] { return client.received() == "HTTP/1.1 100 Continue\r\n\r\n"; }));
+    client.send("abc");
 
-    CHECK(loop.runUntil([&] { return hasBody(caller, "POST /a abc"); }));
+    CHECK(loop.runUntil([&] { return hasBody(client, "POST /a abc"); }));
 }
 
 TEST_CASE("Connections that exceed the limit are refused")
@@ -312,14 +312,14 @@
         loop->callAfter(milliseconds{delay},
                         [response, text] { response->respond(200, {}, text); });
     });
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
 
-    caller.send("POST /1 HTTP/1.1\r\ncontent-length: 3\r\n\r\nabcGET /2 HTTP/1.1\r\n\r\n"
+    client.send("POST /1 HTTP/1.1\r\ncontent-length: 3\r\n\r\nabcGET /2 HTTP/1.1\r\n\r\n"
                 "DELETE /3 HTTP/1.1\r\n\r\nGET /4 HTTP/1.1\r\n\r\n");
 
-    REQUIRE(loop.runUntil([&] { return hasBody(caller, "</4>"); }));
+    REQUIRE(loop.runUntil([&] { return hasBody(client, "</4>"); }));
     CHECK(seen == std::vector<std::string>{"/1", "/2", "/3", "/4"});
-    const auto &got = caller.received();
+    const auto &got = client.received();
     CHECK(got.find("</1abc>") < got.find("</2>"));
     CHECK(got.find("</2>") < got.find("</3>"));
     CHECK(got.find("</3>") < got.find("</4>"));
@@ -334,16 +334,16 @@
         seen.push_back(request.path + " " + request.body);
         response->respond(200, {}, "<" + request.path + ">");
     });
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
     const std::string first = GENERATE(as<std::string>{}, "GET /1 HTTP/1.1\r\n\r\n",
                                        "POST /1 HTTP/1.1\r\ncontent-length: 0\r\n\r\n");
 
-    caller.send(first + "POST /2 HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc");
+    client.send(first + "POST /2 HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc");
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
     CHECK(seen == std::vector<std::string>{"/1 "});
-    CHECK_THAT(caller.received(), Contains("</1>"));
-    CHECK_THAT(caller.received(), Contains("HTTP/1.1 400 "));
+    CHECK_THAT(client.received(), Contains("</1>"));
+    CHECK_THAT(client.received(), Contains("HTTP/1.1 400 "));
 }
 
 TEST_CASE("The disconnection of a client is detected although it has pipelined a request")
@@ -355,14 +355,14 @@
         held = std::move(response);
         held->onClosed([&] { closed = true; });
     });
-    raw_peer caller(server->port());
+    raw_peer client(server->port());
     const std::string first = GENERATE(as<std::string>{}, "GET /1 HTTP/1.1\r\n\r\n",
                                        "POST /1 HTTP/1.1\r\ncontent-length: 1\r\n\r\nx");
     CAPTURE(first);
-    caller.send(first + "GET /2 HTTP/1.1\r\n\r\n");
+    client.send(first + "GET /2 HTTP/1.1\r\n\r\n");
     REQUIRE(loop.runUntil([&] { return held != nullptr; }));
 
-    caller.disconnect();
+    client.disconnect();
 
     CHECK(loop.runUntil([&] { return closed; }));
 }
@@ -371,18 +371,18 @@
 {
     test_loop loop;
     const auto server = serve(loop, describe);
-    raw_peer caller(server->port());
-    caller.send("GET /1 HTTP/1.1\r\n\r\n");
-    REQUIRE(loop.runUntil([&] { return hasBody(caller, "GET /1 "); }));
-    CHECK_FALSE(caller.ended());
+    raw_peer client(server->port());
+    client.send("GET /1 HTTP/1.1\r\n\r\n");
+    REQUIRE(loop.runUntil([&] { return hasBody(client, "GET /1 "); }));
+    CHECK_FALSE(client.ended());
 
     server->stopKeepAlive();
     server->stopListening();
-    caller.send("GET /2 HTTP/1.1\r\n\r\n");
+    client.send("GET /2 HTTP/1.1\r\n\r\n");
 
-    REQUIRE(loop.runUntil([&] { return caller.ended(); }));
-    CHECK_THAT(caller.received(), Contains("connection: close"));
-    CHECK(hasBody(caller, "GET /2 "));
+    REQUIRE(loop.runUntil([&] { return client.ended(); }));
+    CHECK_THAT(client.received(), Contains("connection: close"));
+    CHECK(hasBody(client, "GET /2 "));
     CHECK(callAndWait(loop, callTo(server->port())).end == call_end::NotSent);
 }
 
@@ -391,9 +391,9 @@
     test_loop loop;
     auto server = serve(loop, describe);
     const auto port = server->port();
-    raw_peer caller(port);
-    caller.send("GET /1 HTTP/1.1\r\n\r\n");
-    REQUIRE(loop.runUntil([&] { return hasBody(caller, "GET /1 "); }));
+    raw_peer client(port);
+    client.send("GET /1 HTTP/1.1\r\n\r\n");
+    REQUIRE(loop.runUntil([&] { return hasBody(client, "GET /1 "); }));
 
     server.reset();
     http_server_options options;
@@ -401,7 +401,7 @@
     auto next = http_server::create(*loop, options, describe);
 
     REQUIRE(next.has_value());
-    CHECK(loop.runUntil([&] { return caller.ended(); }));
+    CHECK(loop.runUntil([&] { return client.ended(); }));
     CHECK(callAndWait(loop, callTo(port)).end == call_end::Complete);
 }
 
--- a/tests/net/tls_test.cpp
+++ b/tests/net/tls_test.cpp
@@ -74,12 +74,12 @@
                                 "connection: close\r\ncontent-length: 200000\r\n\r\n"
         + body;
     tls_response got;
-    std::thread caller([&] {
+    std::thread client([&] {
         got = requestOverTls(server->port(), request);
         loop->post([&] { loop->stop(); });
     });
     const bool ended = loop.run();
-    caller.join();
+    client.join();
 
     REQUIRE(ended);
     CHECK(got.protocol == "http/1.1");
