--- a/src/core/requests/answer_codec.cpp
+++ b/src/core/requests/answer_codec.cpp
@@ -15,13 +15,13 @@
 std::optional<final_answer> fromWire(const answer_wire &wire)
 {
     const auto &[request, outcomeName, reasonName, detail, hasOutput, output] = wire;
-    const auto ended = fromName<outcome>(outcomeName);
+    const auto parsedOutcome = fromName<outcome>(outcomeName);
     const auto reason = fromName<refusal_reason>(reasonName);
-    if (!ended || !reason)
+    if (!parsedOutcome || !reason)
         return std::nullopt;
     final_answer answer;
     answer.request = request_id{request};
-    answer.outcome = *ended;
+    answer.outcome = *parsedOutcome;
     answer.reason = *reason;
     answer.detail = detail;
     if (hasOutput)
@@ -50,7 +50,7 @@
     constexpr std::size_t MaxFields = 8;
     constexpr std::size_t MaxDepth = 2;
     const msgpack::unpack_limit limit{MaxFields, 0, bytes.size(), 0, 0, MaxDepth};
-    // The library reports malformed bytes by exceptions alone; they end here.
+    // The library reports malformed bytes only by exceptions.
     try {
         const auto handle = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
         return fromWire(handle.get().as<answer_wire>());
--- a/src/core/servers/leaving_news.cpp
+++ b/src/core/servers/leaving_server_set.cpp
@@ -1,4 +1,4 @@
-#include "core/servers/leaving_news.h"
+#include "core/servers/leaving_server_set.h"
 
 namespace orchidlead {
 
@@ -6,30 +6,31 @@
 
 constexpr std::size_t MaxServers = 4096;
 
-// Load reports lag: one that says otherwise so soon after the server itself is older than that.
-constexpr milliseconds ReportLag{6000};
+// Load reports lag: a report that contradicts the server's own statement within this time is older
+// than the statement.
+constexpr milliseconds MaxReportLag{6000};
 
 } // namespace
 
-std::vector<server_news> leaving_news::all() const
+std::vector<leaving_update> leaving_server_set::all() const
 {
-    std::vector<server_news> out;
+    std::vector<leaving_update> out;
     out.reserve(m_leaving.size());
     for (const auto &[server, since] : m_leaving)
         out.push_back({server, true});
     return out;
 }
 
-bool leaving_news::note(const server_news &news)
+bool leaving_server_set::apply(const leaving_update &update)
 {
-    const auto found = m_leaving.find(news.server);
-    if (news.leaving) {
+    const auto found = m_leaving.find(update.server);
+    if (update.leaving) {
         if (found != m_leaving.end() || m_leaving.size() >= MaxServers)
             return false;
-        m_leaving.emplace(news.server, m_clock.now());
+        m_leaving.emplace(update.server, m_clock.now());
         return true;
     }
-    if (found == m_leaving.end() || m_clock.now() - found->second < ReportLag)
+    if (found == m_leaving.end() || m_clock.now() - found->second < MaxReportLag)
         return false;
     m_leaving.erase(found);
     return true;
--- a/src/daemon/daemon_options.cpp
+++ b/src/daemon/daemon_options.cpp
@@ -38,13 +38,14 @@
     return options;
 }
 
-keeper_options keeperOptions(const process_settings &settings, incarnation start)
+configuration_manager_options configurationManagerOptions(const process_settings &settings,
+                                                          incarnation start)
 {
-    keeper_options options;
+    configuration_manager_options options;
     options.self = selfOf(settings);
     options.seed = start;
     options.readersPerDataCenter = settings.platform.readersPerDataCenter;
-    options.watchTime = settings.platform.readWait;
+    options.longPollWait = settings.platform.readWait;
     options.minReadInterval = settings.platform.minReadInterval;
     options.maxBackoff = settings.platform.maxBackoff;
     return options;
@@ -84,7 +85,7 @@
 {
     control_shell_options options;
     options.control.members = memberOptions(settings, start);
-    options.control.keeper = keeperOptions(settings, start);
+    options.control.manager = configurationManagerOptions(settings, start);
     options.peerListen = settings.listen.peer;
     options.configurationService = settings.platform.configurationService;
     options.vmList = settings.platform.vmList;
--- a/src/daemon/operator_views.cpp
+++ b/src/daemon/operator_views.cpp
@@ -154,13 +154,13 @@
 
 namespace {
 
-Json::Value viewKeyHomes(const at_most_once &gate)
+Json::Value viewKeyHomes(const at_most_once &atMostOnce)
 {
     Json::Value out{Json::objectValue};
     out["shards"] = count(ShardCount);
-    out["held"] = std::popcount(gate.heldShards());
-    out["certain"] = std::popcount(gate.certainShards());
-    out["records"] = count(gate.recordCount());
+    out["held"] = std::popcount(atMostOnce.heldShards());
+    out["certain"] = std::popcount(atMostOnce.shardsAcceptingNewKeys());
+    out["records"] = count(atMostOnce.recordCount());
     return out;
 }
 
@@ -182,7 +182,7 @@
     out["configuration_version"] = count(configuration ? configuration->version : 0);
     out["uptime_ms"] = time(process.uptime);
     out["connections"] = count(process.connections);
-    out["key_homes"] = viewKeyHomes(state.gate());
+    out["key_homes"] = viewKeyHomes(state.atMostOnce());
     Json::Value &requests = out["requests"];
     requests = viewOutcomes(stats.outcomes);
     requests["open"] = count(state.openRequests());
@@ -203,7 +203,7 @@
         row["state"] = text(toName(entry.state));
         row["listed"] = entry.listed;
         row["incarnation"] = count(entry.incarnation);
-        const auto since = std::chrono::duration_cast<milliseconds>(now - entry.lastHeard);
+        const auto since = std::chrono::duration_cast<milliseconds>(now - entry.lastReceivedAt);
         row["last_heard_ms"] = entry.incarnation == 0 ? Json::Value{} : time(since);
         rows.emplace(entry.vm.vm.value, std::move(row));
     }
@@ -268,18 +268,18 @@
 
 Json::Value viewConfiguration(const node_control &control, bool withContent)
 {
-    const published_keeper &keeper = control.keeper();
+    const published_configuration_manager &manager = control.manager();
     Json::Value out{Json::objectValue};
-    out["version"] = count(keeper.stamp().version);
-    out["hash"] = count(keeper.stamp().hash);
-    out["reader"] = keeper.isReader();
-    out["confirmed"] = keeper.readyToServe();
-    out["service_calls"] = count(keeper.serviceCalls());
+    out["version"] = count(manager.stamp().version);
+    out["hash"] = count(manager.stamp().hash);
+    out["reader"] = manager.isReader();
+    out["confirmed"] = manager.readyToServe();
+    out["service_calls"] = count(manager.serviceCalls());
     out["refused"] = Json::Value{Json::arrayValue};
-    for (const auto &refused : keeper.refused())
+    for (const auto &refused : manager.refused())
         out["refused"].append(count(refused.version));
     if (withContent)
-        out["content"] = text(keeper.content());
+        out["content"] = text(manager.content());
     return out;
 }
 
--- a/src/daemon/peer_link.cpp
+++ b/src/daemon/peer_link.cpp
@@ -48,8 +48,8 @@
     out.fetchConfiguration = [this](const wire::configuration_fetch &fetch) {
         return m_events.fetchConfiguration(fetch.version);
     };
-    out.onGateMessage = [this](const wire::gate_message &message) {
-        m_events.onGateMessage(message.from, message.bytes);
+    out.onAtMostOnceMessage = [this](const wire::gate_message &message) {
+        m_events.onAtMostOnceMessage(message.from, message.bytes);
     };
     out.onForward = [this](const wire::forward_request &request,
                            const std::shared_ptr<wire::forward_reply> &to) {
@@ -104,7 +104,7 @@
         });
 }
 
-// The gate's protocol bears loss: nothing is to be done where the call fails.
+// The protocol of the at-most-once gate tolerates lost messages, so a failed call is ignored.
 void peer_link::sendGateMessage(const socket_address &peer, const std::string &bytes)
 {
     m_client.sendGateMessage(peer, {m_self, bytes}, GateMessageTimeout, [](const auto &) {});
--- a/src/daemon/peer_link.h
+++ b/src/daemon/peer_link.h
@@ -28,7 +28,7 @@
 {
     std::function<std::optional<wire::configuration_content>(std::uint64_t version)>
         fetchConfiguration;
-    std::function<void(const vm_id &from, const std::string &bytes)> onGateMessage;
+    std::function<void(const vm_id &from, const std::string &bytes)> onAtMostOnceMessage;
     /// Runs a peer's request; `onEnd` is to be called once.
     std::function<void(caller_request request, peer_answer onEnd)> onForwarded;
     std::function<void(const request_id &request, final_answer answer)> onForwardAnswer;
@@ -37,8 +37,8 @@
     std::function<void(const vm_id &vm)> onContentFailed;
 };
 
-/// Talks to the other nodes over TCP: configuration contents, forwarded requests, and the gate's
-/// messages that don't fit a datagram.
+/// Talks to the other nodes over TCP: configuration contents, forwarded requests, and those
+/// messages of the at-most-once gate (`at_most_once`) that don't fit a datagram.
 class peer_link
 {
 public:
